--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -7,6 +7,7 @@
 #include <cstdlib>
 #include <map>
 #include <memory>
+#include <utility>
 
 namespace nickelramp::test {
 
@@ -75,13 +76,9 @@
 // Collects the traces of the current test, and compares or records them when it ends.
 class TraceRecorder : public testing::EmptyTestEventListener {
   public:
-    // Registered with the test framework on first use, which owns it.
+    // The test framework owns it, from the first run of tests on.
     static TraceRecorder& instance() {
-        static TraceRecorder* const recorder = [] {
-            auto* made = new TraceRecorder;
-            testing::UnitTest::GetInstance()->listeners().Append(made);
-            return made;
-        }();
+        static auto* const recorder = new TraceRecorder;
         return *recorder;
     }
 
@@ -133,8 +130,24 @@
 };
 
 namespace {
-// So that tests are also looked at whose traces are on record and which have none any more.
-[[maybe_unused]] const TraceRecorder& registered = TraceRecorder::instance();
+
+// Registers the recorder when the framework has made the printer of results: listeners hear of the
+// end of a test in reverse order, and the printer must know of the recorder's failures.
+class TraceEnvironment : public testing::Environment {
+  public:
+    void SetUp() override {
+        if (std::exchange(registered_, true)) return;  // tests may be repeated
+        testing::UnitTest::GetInstance()->listeners().Append(&TraceRecorder::instance());
+    }
+
+  private:
+    bool registered_ = false;
+};
+
+// Whether or not any trace is made: tests that have traces on record and make none are to fail.
+[[maybe_unused]] const testing::Environment* const environment =
+    testing::AddGlobalTestEnvironment(new TraceEnvironment);
+
 }  // namespace
 
 Trace::Trace() : Trace(TraceRecorder::instance().next_ordinal()) {}
