--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -150,6 +150,9 @@
         std::size_t i = 0;
         for (const Machine* m : p.book.machines()) RC_ASSERT(m->cpus_free == before[i++]);
         RC_ASSERT(p.post.commits.empty() && p.post.hires.empty() && p.post.returns.empty());
+        // For its trace: a plan when all that was forecast is past.
+        request["id"] = "up-2";
+        p.plan(request, 60'000);
     }));
 }
 
