--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -19,6 +19,8 @@
 using jobs::Job;
 using test::job;
 using test::Parts;
+using test::test_trace;
+using test::traced;
 using wire::Json;
 using workers::Machine;
 using workers::MachineState;
@@ -33,6 +35,7 @@
         EXPECT_TRUE(r) << error;
         EXPECT_EQ(planner.ask(*r), Planner::Taken::fresh);
         while (planner.find(r->id)->state == PlanState::planning) planner.advance(now);
+        test_trace().add(now, "plan", drain::plan_json(*planner.find(r->id)));
         return *planner.find(r->id);
     }
     // All of it runs.
@@ -147,6 +150,9 @@
         std::size_t i = 0;
         for (const Machine* m : p.book.machines()) RC_ASSERT(m->cpus_free == before[i++]);
         RC_ASSERT(p.post.commits.empty() && p.post.hires.empty() && p.post.returns.empty());
+        // For its trace: a plan when all that was forecast is past.
+        request["id"] = "up-2";
+        p.plan(request, 60'000);
     }));
 }
 
@@ -260,6 +266,7 @@
     std::size_t from = 0, pages = 0;
     for (;; ++pages) {
         const Json page = drain::plan_page(*p.planner.find("d"), from);
+        test_trace().add(0, "page", page);
         std::size_t moves = 0;
         for (const Json& s : page["steps"]) {
             EXPECT_TRUE(named.insert(s["machine"]).second);
@@ -279,7 +286,10 @@
     p.machine("m-1", "plain", "a");
     auto ask = [&](const std::string& method, const std::string& path, const std::string& body,
                    bool leads = true) {
-        return drain::answer({method, path, "", body}, leads ? &p.planner : nullptr);
+        const net::Response r =
+            drain::answer({method, path, "", body}, leads ? &p.planner : nullptr);
+        test_trace().add(0, "admin-answer", traced(r));
+        return r;
     };
     const std::pair<const char*, const char*> wrong[] = {
         {"no json", "the body"},
