--- /dev/null
+++ b/tests/golden_admin_test.cpp
@@ -0,0 +1,249 @@
+// What operators read and set: options, drain plans, the leader's overview, metrics.
+#include "admin/metrics.h"
+#include "admin/options.h"
+#include "dispatch/dispatcher.h"
+#include "drain/desk.h"
+#include "duties/keeper.h"
+#include "leadership/term.h"
+#include "relay/admission.h"
+#include "serving/serving.h"
+#include "tests/golden.h"
+#include "tests/golden_samples.h"
+#include "tests/parts.h"
+
+namespace {
+
+using namespace nickelramp;
+using test::golden::brief;
+using test::golden::odd_values;
+using wire::Json;
+
+using GoldenAdmin = test::golden::Recorded;
+
+TEST_F(GoldenAdmin, OptionsKeepNamesAndRanges) {
+    std::string all, verdicts;
+    const admin::Options defaults;
+    std::vector<Json> values = odd_values();
+    for (double n : {-0.5, 16.0, 17.0, 20.0, 20.5}) values.push_back(n);
+    for (const admin::Option& option : admin::all_options()) {
+        all += std::string(option.name) + ": " + std::to_string(option.least) + " to " +
+               std::to_string(option.most) + (option.whole ? ", whole" : "") + ", default " +
+               std::to_string(defaults.*option.member) + "\n";
+        for (const Json& value : values) {
+            admin::Options options;
+            std::string error;
+            const bool set = admin::set_option(options, option, value, error);
+            verdicts += std::string(option.name) + " = " + brief(value) + ": " +
+                        (set ? std::to_string(options.*option.member) : error) + "\n";
+        }
+    }
+    text("options", all);
+    text("values", verdicts);
+}
+
+TEST_F(GoldenAdmin, DrainRequestsAreReadAsTheyWere) {
+    const Json good = {{"id", "up-1_A"}, {"machines", {"m-2", "m-1", "m-2"}}, {"at_once", 3}};
+    auto read = [](const Json& body) {
+        std::string error;
+        const auto r = drain::parse_request(body, error);
+        if (!r) return "refused: " + error;
+        return "id " + r->id + ", machines " + Json(r->machines).dump() + ", zone " + r->zone +
+               ", type " + r->type + (r->all ? ", all" : "") + ", at once " +
+               std::to_string(r->at_once);
+    };
+    std::string out = read(good) + "\n";
+    for (const char* body :
+         {R"({"id": "x", "zone": "a"})", R"({"id": "x", "type": "g4"})",
+          R"({"id": "x", "zone": "a", "type": "g4", "at_once": 10000})",
+          R"({"id": "x", "all": true, "at_once": 1})", R"({"id": "x", "all": true})",
+          R"({"id": "x"})", R"({"id": "x", "zone": "a", "all": true, "at_once": 1})",
+          R"({"id": "x", "zone": "a", "machines": ["m"]})", "{}", "[]", "5"})
+        out += std::string(body) + ": " + read(Json::parse(body)) + "\n";
+    text("requests", out);
+    out.clear();
+    for (const char* name : {"id", "machines", "zone", "type", "all", "at_once"}) {
+        for (const Json& value : odd_values())
+            out += std::string(name) + " = " + brief(value) + ": " +
+                   read(test::golden::with(good, name, value)) + "\n";
+    }
+    text("one field wrong", out);
+}
+
+drain::Plan full_plan() {
+    drain::Plan plan;
+    plan.request.id = "up-1";
+    plan.state = drain::PlanState::refused;
+    plan.steps = {{"m-1",
+                   "g4",
+                   "a",
+                   0,
+                   0,
+                   12.5,
+                   {{"job-1", 0, drain::How::moves, "m-2", false, 0, 3.5, std::nullopt, 0},
+                    {"job-2", 7, drain::How::saves, "spot g4 b", true, 1, 20, 90.25, 12},
+                    {"job-3", 1, drain::How::runs_out, "", false, 12.5, 0, 12.5, 3},
+                    {"job-4", 2, drain::How::ending, "", false, 2, 0, std::nullopt, 0}}},
+                  {"m-3", "plain", "b", 1, 12.5, 12.5, {}}};
+    plan.passed_over = {"m-9 is not known"};
+    plan.refusals = {{"job-2", 7, "m-1", "it would miss its deadline", "later", 30, 40.5},
+                     {"job-3", 1, "m-1", "why", "", std::nullopt, std::nullopt}};
+    plan.hires = {{"g4", "b", 2, 4.5}};
+    plan.empty_s = 12.5;
+    plan.cost = 0.75;
+    return plan;
+}
+
+TEST_F(GoldenAdmin, DrainPlansKeepTheirText) {
+    drain::Plan plan = full_plan();
+    text("summary", drain::plan_json(plan).dump(1));
+    text("first page", drain::plan_page(plan, 0).dump(1));
+    text("second page", drain::plan_page(plan, 1).dump(1));
+    drain::Plan none;
+    text("empty", drain::plan_page(none, 0).dump(1));
+    plan.steps[0].moves.resize(300);
+    Json page = drain::plan_page(plan, 0);
+    text("where the next page begins", page["next"].dump());
+    std::string names;
+    using drain::PlanState;
+    for (PlanState state : {PlanState::planning, PlanState::ready, PlanState::refused})
+        names += std::string(drain::name(state)) + "\n";
+    text("states", names);
+}
+
+TEST_F(GoldenAdmin, DrainCallsAreAnswered) {
+    test::Parts p;
+    p.machine("m-1", "plain", "a");
+    drain::Planner planner{p.term, p.book, p.outlook, p.rules, p.silence};
+    auto ask = [&](const std::string& entry, const std::string& method, const std::string& path,
+                   const std::string& query = "", const std::string& body = "", bool leads = true) {
+        const net::Response r =
+            drain::answer({method, path, query, body}, leads ? &planner : nullptr);
+        text(entry, std::to_string(r.status) + " " + r.type + ", retry after " +
+                        std::to_string(r.retry_after_s) + "\n" + r.body);
+    };
+    const std::string good = R"({"id": "x", "zone": "a"})";
+    const std::string plans = drain::kPath;
+    ask("not the leader", "POST", plans, "", good, false);
+    ask("none", "GET", plans);
+    ask("made", "POST", plans, "", good);
+    ask("made again", "POST", plans, "", good);
+    ask("another of its name", "POST", plans, "", R"({"id": "x", "zone": "b"})");
+    ask("no JSON", "POST", plans, "", "no json");
+    ask("planning", "GET", plans + "/x");
+    planner.advance(1000);
+    ask("ready", "GET", plans + "/x");
+    ask("page", "GET", plans + "/x", "from=1");
+    ask("bad page", "GET", plans + "/x", "from=x");
+    ask("bad query", "GET", plans + "/x", "to=1");
+    ask("list", "GET", plans);
+    ask("unknown", "GET", plans + "/y");
+    ask("wrong method", "DELETE", plans);
+    ask("wrong method of one", "PUT", plans + "/x");
+    ask("other path", "GET", plans + "e");
+    for (int n = 0; n < 16; ++n)
+        drain::answer(
+            {"POST", plans, "", R"({"id": "p)" + std::to_string(n) + R"(", "zone": "a"})"},
+            &planner);
+    ask("too many", "POST", plans, "", R"({"id": "one-more", "zone": "a"})");
+}
+
+TEST_F(GoldenAdmin, MetricsKeepTheirText) {
+    admin::Metrics metrics;
+    text("nothing counted", metrics.text());
+    metrics.answered("submit", 201, 12.5);
+    metrics.started("train", 4);
+    metrics.finished("train", 90);
+    metrics.gauge("machines", "ready", 3);
+    text("one of each", metrics.text());
+    std::string names;
+    for (std::size_t i = 0; i < relay::kRefusals; ++i)
+        names += std::string(relay::name(static_cast<relay::Refusal>(i))) + "\n";
+    text("refused reports", names);
+    names.clear();
+    for (int i = 0; i < 7; ++i)
+        names += std::string(workers::name(static_cast<workers::MachineState>(i))) + "\n";
+    text("machines", names);
+    names.clear();
+    using leadership::State;
+    for (State state : {State::following, State::reading, State::holding, State::claiming,
+                        State::leading, State::doubting})
+        names += std::string(leadership::name(state)) + "\n";
+    text("leadership", names);
+    names.clear();
+    for (int i = 0; i < 5; ++i)
+        names += std::string(serving::name(static_cast<serving::State>(i))) + "\n";
+    text("serving", names);
+    names.clear();
+    for (int i = 0; i < 6; ++i)
+        names += std::string(duties::name(static_cast<duties::State>(i))) + "\n";
+    text("duties", names);
+}
+
+// A leader with machines of an earlier term, and jobs that wait for several reasons.
+struct Leader {
+    Leader() {
+        settings.objectives = {{wire::Objective::Kind::wait, "sweep", 5, 1, 0.9},
+                               {wire::Objective::Kind::finished, "ensemble", 10, 1, 0.9},
+                               {wire::Objective::Kind::deadline, "standing", 0, 2, 0.9}};
+        dispatcher.load_types({{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}},
+                               {"plain", 8, 0, 32, 50, 1, 1, 0.4, 10, {"a", "b"}}});
+        blocks::Block block;
+        block.holder = "other";
+        block.token = 5;
+        block.members = {{"m-1", "m-1:1", "g4", "a", false}, {"m-2", "m-2:1", "plain", "b", true}};
+        dispatcher.load_block(0, block);
+        load("job-1", test::job("job-1", "sweep", 5, 0));
+        load("job-2", test::job("job-2", "ensemble", 4, 4));
+        Json service = test::job("job-3", "standing", 1, 0);
+        service["due_s"] = 3.0;
+        load("job-3", service);
+        Json nowhere = test::job("job-4", "sweep", 1, 0);
+        nowhere["rigs"] = {"m1"};
+        load("job-4", nowhere);
+        dispatcher.load_run("job-1", 0, {1, {{1, 1, true, "m-1"}}}, 41, 1000);
+        dispatcher.start(1000);
+    }
+    void load(const std::string& id, const Json& spec) {
+        jobs::OpenRecord record;
+        std::string error;
+        record.spec = *wire::parse_job(spec, error);
+        record.accepted_wall_ms = 1'000'000;
+        dispatcher.load_job(record, 31, 1'000'500, 1000);
+        (void)id;
+    }
+    // The order of jobs is not a part of the answer.
+    std::string overview(Millis now) const {
+        Json out = dispatcher.overview(now);
+        for (const char* list : {"waiting", "late"}) std::sort(out[list].begin(), out[list].end());
+        return out.dump(1);
+    }
+    wire::Settings settings = test::world_settings();
+    test::Post post;
+    dispatch::Dispatcher dispatcher{settings, {7, "lead/term", 70}, post, 1000};
+};
+
+TEST_F(GoldenAdmin, OverviewOfALeaderKeepsItsText) {
+    Leader leader;
+    text("new", leader.overview(2000));
+    leader.dispatcher.confirm_until(0);
+    text("not confirmed", leader.overview(3000));
+    leader.dispatcher.confirm_until(kNever);
+    text("later", leader.overview(60'000));
+}
+
+// What the new leader sends first, to the state service and to the machines that it found.
+TEST_F(GoldenAdmin, FirstStepsOfALeaderKeepTheirTransactions) {
+    Leader leader;
+    leader.dispatcher.tick(1200);
+    std::size_t n = 0;
+    for (const auto& [txn, done] : leader.post.commits)
+        transaction("transaction " + std::to_string(n++), txn);
+    std::string direct;
+    for (const auto& d : leader.post.directs)
+        direct += d.machine + " " +
+                  test::golden::shown_bytes(wire::direct_commands(d.token, d.session, d.commands)) +
+                  "\n";
+    text("direct commands", direct);
+}
+
+}  // namespace
--- /dev/null
+++ b/tests/golden_loopback.cpp
@@ -0,0 +1,108 @@
+#include "tests/golden_loopback.h"
+
+#include <arpa/inet.h>
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "tests/standin.h"
+
+namespace nickelramp::test::golden {
+
+namespace {
+constexpr std::size_t kPart = 65536;
+constexpr time_t kPatienceS = 5;  // for the next bytes of an answer
+
+sockaddr_in loopback(int port) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    return address;
+}
+
+// The head and as much of a body as it announces.
+bool whole(const std::string& request) {
+    const std::string mark = "Content-Length: ";
+    const auto head = request.find("\r\n\r\n");
+    if (head == std::string::npos) return false;
+    const auto length = request.find(mark);
+    const std::size_t body =
+        length < head ? std::stoul(request.substr(length + mark.size())) : std::size_t{0};
+    return request.size() >= head + 4 + body;
+}
+
+// Reads until `enough`, or the end.
+template <typename Enough>
+std::string read_from(int connection, Enough enough) {
+    std::string in, part(kPart, '\0');
+    while (!enough(in)) {
+        const ssize_t n = recv(connection, part.data(), part.size(), 0);
+        if (n <= 0) break;
+        in.append(part.data(), static_cast<std::size_t>(n));
+    }
+    return in;
+}
+
+void write_to(int connection, const std::string& bytes) {
+    std::size_t sent = 0;
+    while (sent < bytes.size()) {
+        const ssize_t n = send(connection, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+        if (n <= 0) return;
+        sent += static_cast<std::size_t>(n);
+    }
+}
+}  // namespace
+
+Listener::Listener(int port, std::string answer) : answer_(std::move(answer)) {
+    socket_ = socket(AF_INET, SOCK_STREAM, 0);
+    const int on = 1;
+    setsockopt(socket_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+    const sockaddr_in address = loopback(port);
+    EXPECT_EQ(bind(socket_, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
+    EXPECT_EQ(listen(socket_, 8), 0);
+    thread_ = std::thread([this] { run(); });
+}
+
+Listener::~Listener() {
+    shutdown(socket_, SHUT_RDWR);
+    thread_.join();
+    close(socket_);
+}
+
+void Listener::run() {
+    while (!heard_) {
+        const int connection = accept(socket_, nullptr, nullptr);
+        if (connection < 0) return;
+        const std::string in = read_from(connection, whole);
+        if (whole(in)) {
+            write_to(connection, answer_);
+            request_ = in;
+            heard_ = true;
+        }
+        close(connection);
+    }
+}
+
+std::string exchange(uv_loop_t* loop, int port, const std::string& bytes) {
+    std::string out;
+    std::atomic<bool> over = false;
+    std::thread client([&] {
+        const int connection = socket(AF_INET, SOCK_STREAM, 0);
+        const timeval patience{kPatienceS, 0};
+        setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+        const sockaddr_in address = loopback(port);
+        if (connect(connection, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) {
+            write_to(connection, bytes);
+            out = read_from(connection, [](const std::string&) { return false; });
+        }
+        close(connection);
+        over = true;
+    });
+    EXPECT_TRUE(run_until(loop, [&] { return over.load(); }));
+    client.join();
+    return out;
+}
+
+}  // namespace nickelramp::test::golden
--- /dev/null
+++ b/tests/golden_program_test.cpp
@@ -0,0 +1,246 @@
+// The program as it is started: its command line, and a controller that becomes leader beside the
+// stand-ins of state service and cloud: what it writes there, and what it answers.
+#include <signal.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <cstdio>
+#include <filesystem>
+#include <fstream>
+#include <regex>
+
+#include "net/address.h"
+#include "net/http_client.h"
+#include "net/http_server.h"
+#include "standin/controllers.h"
+#include "tests/golden.h"
+#include "tests/golden_samples.h"
+#include "tests/standin.h"
+
+namespace {
+
+using namespace nickelramp;
+using wire::Json;
+
+constexpr int kStatePort = 39330;
+constexpr const char* kState = "127.0.0.1:39330";
+constexpr const char* kCloud = "127.0.0.1:39331";
+constexpr int kControllerPort = 39332;
+
+Json facts() {
+    return {{"zones", {"a", "b"}},
+            {"teams", {{{"name", "red"}, {"gpus", 8}, {"gpus_max", 24}}}},
+            {"workers",
+             {{"report_s", 3},
+              {"lease_s", 31},
+              {"gang_wait_s", 30},
+              {"gang_peer_s", 4},
+              {"cancel_s", 51}}},
+            {"state", {{"rps", 250}, {"write_rps", 40}, {"value_kb", 8}, {"txn_ops", 12}}},
+            {"cloud", {{"rps", 50}, {"list_lag_s", 3}}},
+            {"limits", {{"cpu", 0.12}, {"mem_mb", 104}, {"fd_limit", 1800}}}};
+}
+
+class GoldenProgram : public test::golden::Recorded {
+  protected:
+    GoldenProgram()
+        : folder(std::filesystem::temp_directory_path() /
+                 ("nickelramp-golden-" + std::to_string(getpid()))) {
+        std::filesystem::create_directories(folder);
+    }
+    ~GoldenProgram() override { std::filesystem::remove_all(folder); }
+    // Both streams and the exit code, without the folders.
+    std::string program(const std::string& arguments) const {
+        std::FILE* pipe = popen((NICKELRAMP_PROGRAM " " + arguments + " 2>&1").c_str(), "r");
+        std::string out;
+        for (int c = std::fgetc(pipe); c != EOF; c = std::fgetc(pipe)) out += static_cast<char>(c);
+        const int status = pclose(pipe);
+        for (const std::string& place : {std::string(NICKELRAMP_PROGRAM), folder.string()}) {
+            const std::string name = place == folder.string() ? "FOLDER" : "nickelramp";
+            for (auto at = out.find(place); at != std::string::npos; at = out.find(place))
+                out.replace(at, place.size(), name);
+        }
+        return "exit " + std::to_string(WEXITSTATUS(status)) + "\n" + out;
+    }
+    std::string file(const std::string& name, const std::string& content) const {
+        const std::string path = folder / name;
+        std::ofstream(path) << content;
+        return path;
+    }
+    const std::filesystem::path folder;
+};
+
+TEST_F(GoldenProgram, CommandLineKeepsItsWords) {
+    Json settings = {
+        {"host_name", "ramper-0"},   {"site", "a"},
+        {"serve_on", "127.0.0.1:1"}, {"back", "127.0.0.1:2"},
+        {"peers", Json::array()},    {"external", {{"cloud", kCloud}, {"state", kState}}},
+        {"facts", facts()}};
+    const std::string good = file("good.json", settings.dump());
+    settings.erase("site");
+    const std::string bad = file("bad.json", settings.dump());
+    text("version", program("--version"));
+    text("no arguments", program(""));
+    text("unknown argument", program("--fast"));
+    text("no file", program("--config /nowhere.json"));
+    text("checked", program("--check --config " + good));
+    text("checked, with plans", program("--check --plans --config " + good));
+    text("checked, bad", program("--check --config " + bad));
+    text("started, bad", program("--config " + bad));
+    // Without the layout, which is the argument parser's.
+    text("help", std::regex_replace(program("--help"), std::regex(R"([ \n]+)"), "\n"));
+    text("bad log level", [&] {
+        setenv("LOG_LEVEL", "loud", 1);
+        const std::string out = program("--check --config " + good);
+        unsetenv("LOG_LEVEL");
+        return out;
+    }());
+}
+
+// One controller, elected, with a cloud that has types and no machines.
+class GoldenController : public test::golden::Recorded {
+  protected:
+    GoldenController()
+        : folder(std::filesystem::temp_directory_path() /
+                 ("nickelramp-golden-" + std::to_string(getpid()))) {
+        std::filesystem::create_directories(folder);
+        uv_loop_init(&loop);
+        state = std::make_unique<test::StateStandin>(&loop, kStatePort);
+        cloud = std::make_unique<net::HttpServer>(
+            &loop, 8, [this](const net::Request& q, const net::Responder& r) { on_cloud(q, r); });
+        EXPECT_EQ(cloud->listen(*net::parse_address(kCloud)), 0);
+        controllers =
+            std::make_unique<standin::Controllers>(standin::ControllerSettings{NICKELRAMP_PROGRAM,
+                                                                               folder.string(),
+                                                                               1,
+                                                                               kControllerPort,
+                                                                               {"a", "b"},
+                                                                               kCloud,
+                                                                               kState,
+                                                                               facts()});
+        user = std::make_unique<net::HttpClient>(
+            &loop, *net::parse_address(controllers->address(0)), "user", 4, 16);
+    }
+    ~GoldenController() override {
+        controllers.reset();
+        user.reset();
+        cloud.reset();
+        state.reset();
+        uv_run(&loop, UV_RUN_NOWAIT);
+        uv_run(&loop, UV_RUN_NOWAIT);
+        uv_loop_close(&loop);
+        std::filesystem::remove_all(folder);
+    }
+    void on_cloud(const net::Request& q, const net::Responder& r) {
+        if (q.path == "/machine_types") {
+            const Json types = wire::types_json({{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}}});
+            r.send({200, wire::encode(types), 0, "application/cbor"});
+        } else if (q.method == "GET") {
+            const Json none = {{"hosts", Json::array()}, {"truncated", false}};
+            r.send({200, wire::encode(none), 0, "application/cbor"});
+        } else {
+            r.send({503, wire::encode({{"error", "no capacity"}}), 0, "application/cbor"});
+        }
+    }
+    net::Reply ask(const char* method, const std::string& path, const std::string& body = "") {
+        net::Reply out;
+        bool done = false;
+        user->request(method, path, body, 5000, [&](const net::Reply& r) {
+            out = r;
+            done = true;
+        });
+        EXPECT_TRUE(test::run_until(&loop, [&] { return done; }));
+        return out;
+    }
+    void answered(const std::string& entry, const net::Reply& r) {
+        const auto map = wire::decode_map(r.body);
+        text(entry, std::to_string(r.status) + ", retry after " + std::to_string(r.retry_after_s) +
+                        "\n" +
+                        (map ? map->dump() + "\n" + test::golden::shown_bytes(r.body) : r.body));
+    }
+    // Waits until it leads and its term's first records are there.
+    bool leads() {
+        EXPECT_EQ(controllers->start_all(), "");
+        return test::run_until(&loop, [&] {
+            return state->has("fleet/types") && state->has("duty/cleaning") &&
+                   state->has("lead/term");
+        });
+    }
+    std::filesystem::path folder;
+    uv_loop_t loop;
+    std::unique_ptr<test::StateStandin> state;
+    std::unique_ptr<net::HttpServer> cloud;
+    std::unique_ptr<standin::Controllers> controllers;
+    std::unique_ptr<net::HttpClient> user;
+};
+
+// Numbers that differ from run to run are replaced by 0.
+Json steady(Json value, const std::vector<std::string>& names) {
+    if (!value.is_structured()) return value;
+    for (auto& [name, part] : value.items()) {
+        const bool varies = std::find(names.begin(), names.end(), name) != names.end();
+        part = varies && part.is_number() ? Json(0) : steady(part, names);
+    }
+    return value;
+}
+
+TEST_F(GoldenController, RecordsOfANewLeaderKeepKeysAndBytes) {
+    ASSERT_TRUE(leads());
+    value("lead/seat", state->value("lead/seat"));
+    value("lead/term", state->value("lead/term"));
+    value("fleet/types", state->value("fleet/types"));
+    for (const char* duty : {"renting", "returning", "reclaiming", "cleaning"}) {
+        const std::string key = std::string("duty/") + duty;
+        value(key, steady(state->value(key), {"incarnation", "hold"}));
+    }
+    text("number of keys", std::to_string(state->keys()));
+    answered("submission", ask("POST", "/work", wire::encode(test::golden::minimal_job())));
+    ASSERT_TRUE(state->has("open/job-1"));
+    value("open job", steady(state->value("open/job-1"), {"at"}));
+    value("job", state->value("job/job-1"));
+}
+
+TEST_F(GoldenController, PagesOfALeaderKeepTheirText) {
+    ASSERT_TRUE(leads());
+    Json status;
+    ASSERT_TRUE(test::run_until(&loop, [&] {
+        status = Json::parse(ask("GET", "/admin/status").body, nullptr, false);
+        return status.contains("book");
+    }));
+    text("/admin/status", steady(status, {"fence", "requests", "renting", "returning"}).dump(1));
+    std::istringstream metrics(ask("GET", "/admin/metrics").body);
+    std::string names;
+    for (std::string line; std::getline(metrics, line);)
+        names += (line[0] == '#' ? line : line.substr(0, line.rfind(' '))) + "\n";
+    text("/admin/metrics without values", names);
+    answered("/ready", ask("GET", "/ready"));
+    answered("/admin/settings", ask("GET", "/admin/settings"));
+    answered("/admin/settings/keep_margin", ask("GET", "/admin/settings/keep_margin"));
+    answered("/admin/settings/other", ask("GET", "/admin/settings/other"));
+    answered("PUT", ask("PUT", "/admin/settings/keep_margin", "{\"value\": 2.5}"));
+    value("admin/settings", state->value("admin/settings"));
+    answered("PUT, out of range", ask("PUT", "/admin/settings/keep_margin", "{\"value\": 25}"));
+    answered("PUT, no value", ask("PUT", "/admin/settings/keep_margin", "{}"));
+    answered("PUT, no JSON", ask("PUT", "/admin/settings/keep_margin", "x"));
+    answered("DELETE", ask("DELETE", "/admin/settings/keep_margin"));
+    answered("PUT of all", ask("PUT", "/admin/settings"));
+    answered("POST of the status", ask("POST", "/admin/status"));
+    answered("unknown page", ask("GET", "/admin/other"));
+    answered("unknown path", ask("GET", "/other"));
+    answered("plans are off", ask("GET", "/admin/plans"));
+}
+
+TEST_F(GoldenController, ReportsAreAnswered) {
+    ASSERT_TRUE(leads());
+    ASSERT_TRUE(test::run_until(&loop, [&] {
+        const Json status = Json::parse(ask("GET", "/admin/status").body, nullptr, false);
+        return status.contains("book");
+    }));
+    answered("GET", ask("GET", "/checkin"));
+    answered("no CBOR", ask("POST", "/checkin", "x"));
+    answered("no machine", ask("POST", "/checkin", wire::encode(Json{{"shift", 1}})));
+    answered("of an unknown machine",
+             ask("POST", "/checkin", wire::encode(test::golden::minimal_report())));
+}
+
+}  // namespace
