--- a/tests/golden_program_test.cpp
+++ b/tests/golden_program_test.cpp
@@ -8,6 +8,7 @@
 #include <filesystem>
 #include <fstream>
 #include <regex>
+#include <set>
 
 #include "net/address.h"
 #include "net/http_client.h"
@@ -202,6 +203,7 @@
 
 TEST_F(GoldenController, PagesOfALeaderKeepTheirText) {
     ASSERT_TRUE(leads());
+    ASSERT_TRUE(test::run_until(&loop, [&] { return ask("GET", "/ready").status == 200; }));
     Json status;
     ASSERT_TRUE(test::run_until(&loop, [&] {
         status = Json::parse(ask("GET", "/admin/status").body, nullptr, false);
@@ -209,9 +211,11 @@
     }));
     text("/admin/status", steady(status, {"fence", "requests", "renting", "returning"}).dump(1));
     std::istringstream metrics(ask("GET", "/admin/metrics").body);
-    std::string names;
+    std::set<std::string> lines;
     for (std::string line; std::getline(metrics, line);)
-        names += (line[0] == '#' ? line : line.substr(0, line.rfind(' '))) + "\n";
+        lines.insert(line[0] == '#' ? line : line.substr(0, line.rfind(' ')));
+    std::string names;
+    for (const std::string& line : lines) names += line + "\n";
     text("/admin/metrics without values", names);
     answered("/ready", ask("GET", "/ready"));
     answered("/admin/settings", ask("GET", "/admin/settings"));
--- a/tests/golden_transactions_test.cpp
+++ b/tests/golden_transactions_test.cpp
@@ -1,7 +1,9 @@
 // Transactions of a term in small scenarios: their conditions, keys, values and urgency.
+#include "dispatch/holding.h"
 #include "duties/keeper.h"
 #include "duties/sweep.h"
 #include "leadership/term.h"
+#include "peers/messages.h"
 #include "tests/golden.h"
 #include "tests/parts.h"
 
@@ -148,6 +150,52 @@
     transaction("grant and duty", txn);
 }
 
+// A block that is lent with a job, as the leader offers it and as its holder takes it up.
+TEST_F(GoldenTransactions, ABlockThatIsLentWithAJob) {
+    Parts p;
+    admin::Options options;
+    options.lent_machines = 2;
+    options.keep_margin = options.replica_margin = 0;
+    p.term.set_options(options);
+    for (const char* name : {"m-0", "m-1", "m-2", "m-3"}) {
+        p.machine(name, "plain", "a");
+        p.grants.ledger().add({name, std::string(name) + ":1", "plain", "a", false});
+    }
+    p.grants.commit(500);
+    Post::answer(p.post.commits, 510, committed(80));
+    peers::Status status;
+    status.from = "holder-0";
+    status.incarnation = 3;
+    status.clock_ms = 900;
+    p.lender.peer_heard(status, 1000);
+    p.lender.share_machines(1000);
+    take("block", p, 1010, 81);
+    p.lender.lend_job(p.enter(job("job-2", "sweep", 8, 0)), 1100);
+    const auto grants = p.lender.grants(900, 1200);
+    ASSERT_EQ(grants.size(), 1u);
+    bytes("grant", peers::encode(grants[0].second).frame);
+
+    wire::Settings settings = test::world_settings();
+    settings.name = "holder-0";
+    Post post;
+    dispatch::Holding holding(settings, leadership::kTermKey, post, 3);
+    holding.on_grant(grants[0].second, p.book.types(), 0, 1000);
+    ASSERT_EQ(post.reads.size(), 1u);
+    text("read by the holder", post.reads.front().first);
+    state::GetReply open;
+    open.outcome = state::Outcome::ok;
+    open.item = {"open/job-2", jobs::open_record(job("job-2", "sweep", 8, 0), 0, false), 32, false};
+    Post::answer(post.reads, 1010, open);
+    ASSERT_EQ(post.lists.size(), 1u);
+    text("listed by the holder", post.lists.front().first);
+    state::ListReply none;
+    none.outcome = state::Outcome::ok;
+    Post::answer(post.lists, 1020, none);
+    const auto news = holding.news();
+    ASSERT_TRUE(news);
+    bytes("news", peers::encode(*news).frame);
+}
+
 TEST_F(GoldenTransactions, PostsOfDuties) {
     std::vector<state::Txn> sent;
     std::vector<std::function<void(Millis, const state::CommitReply&)>> answers;
--- a/tests/golden_users_test.cpp
+++ b/tests/golden_users_test.cpp
@@ -164,7 +164,11 @@
     text("beyond the limit of processors", submit(with(with(good, "cores", 90), "cards", 0)));
     text("beyond the limit of gpus", submit(with(good, "cards", 2)));
     text("sweeps count one task", submit(with(with(good, "cards", 2), "shape", "sweep")));
-    text("scattered in one zone", submit(with(with(good, "one_zone", false), "scatter", true)));
+    const Json gang = with(with(good, "id", "job-4"), "scatter", true);
+    text("scattered, one_zone", submit(gang));
+    text("scattered, a zone is named", submit(with(gang, "one_zone", false)));
+    text("scattered, its type is in one zone",
+         submit(with(with(without(gang, "yard"), "one_zone", false), "rigs", {"g4"})));
     Json service = with(with(good, "scatter", true), "shape", "standing");
     text("scattered service", submit(with(service, "id", "job-5")));
     // A job that was accepted before is not turned away.
