--- a/tests/trace.h
+++ b/tests/trace.h
@@ -1,6 +1,6 @@
 // Traces of simulations: everything that the code under test sends, commits and answers, in order
 // and with simulated time, reduced to a hash. At the end of each test its hashes are compared with
-// those on record (tests/golden/traces.txt), so that no change of behaviour goes unnoticed while
+// those on record (tests/traces/recorded.txt), so that no change of behaviour goes unnoticed while
 // the code is reshaped. Log lines and names in the code are no part of a trace.
 //
 // Environment variables, both of which name a folder that exists:
