--- /dev/null
+++ b/tests/waiting_jobs_test.cpp
@@ -0,0 +1,333 @@
+// Once the troubles are over, no job is left waiting for 90 s while a machine that fits has room
+// and its team is under its limit (docs/design/waiting.md). The world says what would fit.
+#include <gtest/gtest.h>
+
+#include "tests/cluster_simulation.h"
+
+namespace {
+
+using namespace nickelramp;
+using test::ClusterSimulation;
+using test::Faults;
+using test::job;
+
+constexpr Millis kLongest = 90'000;
+
+Faults full() {
+    Faults faults;
+    faults.refused_provisioning = 1;  // nothing new can be rented
+    return faults;
+}
+
+// A day of two kinds of trouble, with all shapes of jobs; then all of it is over, and half of the
+// days the cloud is full by then.
+Millis day(std::uint64_t seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
+    std::mt19937_64 random(seed);
+    auto upto = [&](Millis most) { return static_cast<Millis>(random() % most); };
+    Faults faults;
+    bool spoilt = false, deaf = false, cut = false;
+    for (std::uint64_t kind : {seed % 8, seed / 8 % 8}) {
+        if (kind == 0) faults.faulty_machines = 0.6;
+        if (kind == 1) spoilt = true;
+        if (kind == 2)
+            faults.refused_provisioning = 0.5, faults.unknown_commits = 0.2,
+            faults.late_cloud_calls = 0.2;
+        if (kind == 3) deaf = true;
+        if (kind == 4) cut = true;
+        if (kind == 5)
+            faults.holder_failures_per_s = 0.03, faults.lost_peer_messages = 0.3,
+            faults.lost_shard_grants = 0.3;
+        if (kind == 6)
+            faults.machine_failures_per_s = 0.05, faults.failovers_per_s = 0.03,
+            faults.lingering_old_leaders = 0.5;
+        if (kind == 7)
+            faults.late_heartbeat_copies = 0.3, faults.worker_restarts_per_s = 0.02,
+            faults.lost_command_replies = 0.2, faults.delayed_commands = 0.1;
+    }
+    ClusterSimulation simulation(seed, faults,
+                                 seed % 3 == 0 || faults.holder_failures_per_s > 0 ? 2 : 0);
+    const char* shapes[] = {"sweep", "ensemble", "sweep", "standing"};
+    int jobs = 0;
+    auto submit = [&] {
+        const std::string id = "job-" + std::to_string(jobs);
+        wire::Json spec = job(id, shapes[jobs % 4], 1 + random() % 5, 1 + random() % 2);
+        if (jobs % 4 == 3) spec["legs"] = 1 + random() % 2, spec["cards"] = 1;
+        if (random() % 2 == 0) spec["crew"] = "blue";
+        if (random() % 4 == 0)
+            spec["scatter"] = true;
+        else if (random() % 4 == 0)
+            spec["one_zone"] = true;
+        if (random() % 5 == 0) spec["yard"] = random() % 2 == 0 ? "a" : "b";
+        if (random() % 3 == 0) spec["standby"] = true;
+        if (random() % 4 == 0 && spec["legs"] != 5) spec["rigs"] = wire::Json::array({"g4"});
+        if (random() % 6 == 0) spec["urgency"] = "best_effort";
+        if (spoilt && jobs % 3 == 1) simulation.make_job_fail(id);
+        simulation.submit(spec);
+        ++jobs;
+    };
+    const Millis end = 120'000 + upto(120'000);
+    while (simulation.now() < end && !testing::Test::HasFailure()) {
+        submit();
+        if (random() % 4 == 0) simulation.cancel("job-" + std::to_string(upto(jobs)));
+        const auto names = simulation.working_machines();
+        if (deaf && !names.empty() && random() % 2 == 0) {
+            const std::string& name = names[upto(static_cast<Millis>(names.size()))];
+            const Millis until = std::min(end, simulation.now() + 5'000 + upto(60'000));
+            random() % 2 == 0 ? simulation.block_inbound(name, until)
+                              : simulation.block_commands(name, until);
+        }
+        if (cut && random() % 4 == 0) {
+            simulation.partition({random() % 2 == 0 ? "a" : "b",
+                                  0.3 + 0.35 * static_cast<double>(upto(3)), random() % 2 == 0,
+                                  random() % 2 == 0, false, simulation.now(),
+                                  std::min(end, simulation.now() + 5'000 + upto(50'000))});
+        }
+        simulation.run_until(simulation.now() + 2'000 + upto(12'000));
+    }
+    if (seed % 5 == 0) simulation.fail_over();
+    simulation.clear_faults();
+    simulation.repair_faulty_machines();
+    if (seed % 2 == 0) simulation.set_faults(full());
+    simulation.expect_wait_below(kLongest);
+    for (int n = 0; n < 12 && !testing::Test::HasFailure(); ++n) {
+        if (n % 3 == 0) submit();
+        simulation.run_until(simulation.now() + 20'000);
+    }
+    return simulation.longest_wait();
+}
+
+TEST(WaitingJobs, NoJobIsLeftWaitingOnceFaultsAreOver) {
+    std::size_t waited = 0;
+    Millis longest = 0;
+    for (std::uint64_t seed = 1; seed <= 64 && !HasFailure(); ++seed) {
+        const Millis wait = day(seed);
+        waited += wait > 5'000 ? 1 : 0;
+        longest = std::max(longest, wait);
+    }
+    EXPECT_GT(waited, 15u);
+    EXPECT_LT(longest, kLongest);
+}
+
+// All machines fail what is put on them, again and again, until they are repaired.
+TEST(WaitingJobs, BackoffsEndSoonAfterTheFaultDoes) {
+    for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        Faults faults;
+        faults.faulty_machines = 1;
+        ClusterSimulation simulation(seed, faults);
+        simulation.submit(job("job-0", "sweep", 6, 1));
+        simulation.run_until(400'000);
+        for (const auto& [id, j] : simulation.leader()->open_jobs())
+            EXPECT_GT(j->backoff_count, 4u);
+        simulation.clear_faults();
+        simulation.repair_faulty_machines();
+        simulation.expect_wait_below(kLongest);
+        const Millis from = simulation.now();
+        while (simulation.final_state("job-0").empty() && simulation.now() < from + 200'000 &&
+               !HasFailure())
+            simulation.run_until(simulation.now() + 1'000);
+        EXPECT_LT(simulation.now() - from, kLongest);
+    }
+}
+
+// A job with a mistake and one without want the only place there is.
+TEST(WaitingJobs, AFaultyJobLeavesTheOnlySlotToOthers) {
+    for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        ClusterSimulation simulation(seed, {});
+        wire::Json bad = job("job-0", "sweep", 1, 2), good = job("job-1", "sweep", 1, 2);
+        wire::Json stays = job("job-2", "standing", 1, 2);  // so that the machine does too
+        bad["yard"] = good["yard"] = stays["yard"] = "b";
+        bad["urgency"] = "urgent";
+        simulation.make_job_fail("job-0");
+        simulation.submit(stays);
+        simulation.run_until(35'000);
+        simulation.set_faults(full());
+        simulation.submit(bad);
+        simulation.run_until(36'000);
+        simulation.submit(good);
+        simulation.expect_wait_below(kLongest);
+        simulation.run_until(240'000);
+        EXPECT_EQ(simulation.final_state("job-1"), "done")
+            << simulation.describe_running() << simulation.describe_cluster_state();
+    }
+}
+
+// Room that is kept for other work while the cloud answers nobody: blank machines for a gang that
+// its team's limit keeps waiting; a type that some work has no choice but to use.
+TEST(WaitingJobs, WithheldCapacityIsNotWithheldForever) {
+    for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        const bool blank = seed % 2 == 0;
+        ClusterSimulation simulation(
+            seed, {}, 0,
+            {{"g4", 16, 4, 64, 50, 1, blank ? 10.0 : 20.0, 4, 10, {"a", "b"}},
+             {"g2", 8, 2, 32, 50, 1, 6, 3, 10, {"a"}}});
+        wire::Json stays = job("job-0", "standing", 3, 2), gang = job("job-1", "ensemble", 3, 4);
+        wire::Json other = job("job-2", "ensemble", 4, 4);  // leaves blank machines behind
+        stays["yard"] = "a";
+        other["crew"] = "blue";
+        gang["rigs"] = other["rigs"] = wire::Json::array({"g4"});
+        if (blank) simulation.submit(stays);
+        simulation.submit(other);
+        while (simulation.final_state("job-2").empty() && simulation.now() < 120'000)
+            simulation.run_until(simulation.now() + 100);
+        Faults faults;
+        faults.cloud_down = true;
+        simulation.set_faults(faults);
+        if (blank) simulation.submit(gang);  // six of the team's twelve are in use
+        simulation.run_until(simulation.now() + 1'000);
+        wire::Json array = job("job-3", "sweep", 1, 1);
+        array["standby"] = blank;
+        if (blank) array["yard"] = "b";
+        simulation.submit(array);
+        simulation.expect_wait_below(kLongest);
+        simulation.run_until(simulation.now() + 110'000);
+        EXPECT_EQ(simulation.final_state("job-3"), "done")
+            << simulation.describe_running() << simulation.describe_cluster_state();
+        EXPECT_GT(simulation.longest_wait(), 50'000) << blank;  // it was kept until then
+    }
+}
+
+// Grants do not arrive, so the holder of a block never hears of a job that it was given.
+TEST(WaitingJobs, AJobItsHolderNeverReceivedIsReclaimed) {
+    std::size_t lost = 0;
+    for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        ClusterSimulation simulation(seed, {}, 2);
+        simulation.submit(job("job-0", "ensemble", 4, 2));  // leaves machines to lend
+        while (simulation.accepted_shard_grants() == 0 && simulation.now() < 200'000)
+            simulation.run_until(simulation.now() + 200);
+        Faults faults;
+        faults.lost_shard_grants = 1;
+        simulation.set_faults(faults);
+        for (int n = 1; n <= 4; ++n)
+            simulation.submit(job("job-" + std::to_string(n), "sweep", 2, 1));
+        simulation.expect_wait_below(kLongest);
+        simulation.run_until(simulation.now() + 2'000);
+        for (const auto& [id, j] : simulation.leader()->open_jobs())
+            lost += j->delegated_shard != kNone ? 1 : 0;
+        simulation.run_until(simulation.now() + 110'000);
+        for (int n = 1; n <= 4; ++n)
+            EXPECT_EQ(simulation.final_state("job-" + std::to_string(n)), "done")
+                << simulation.describe_cluster_state();
+    }
+    EXPECT_GT(lost, 6u);
+}
+
+// The only record of a task names a machine that went under the leader before this one.
+TEST(WaitingJobs, TasksOfALongGoneMachineAreRestartedSoon) {
+    for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        ClusterSimulation simulation(seed, {});
+        wire::Json one = job("job-0", "sweep", 1, 1), stays = job("job-1", "standing", 1, 1);
+        one["yard"] = stays["yard"] = "b";
+        simulation.set_task_duration("job-0", 40'000);
+        simulation.submit(one);
+        simulation.run_until(25'000);
+        ASSERT_EQ(simulation.running_tasks("b"), 1u);
+        simulation.set_faults(full());
+        simulation.preempt_zone("b");
+        simulation.run_until(70'000);
+        simulation.fail_over();
+        ASSERT_EQ(simulation.leader()->open_jobs().at("job-0")->live_attempts,
+                  1u);  // as the record has it
+        simulation.clear_faults();
+        simulation.submit(stays);
+        simulation.expect_wait_below(35'000);
+        simulation.run_until(180'000);
+        EXPECT_EQ(simulation.final_state("job-0"), "done") << simulation.describe_cluster_state();
+    }
+}
+
+// Half of a scattered gang fits, the other half nowhere: nothing is stopped or kept for it.
+TEST(WaitingJobs, NoCapacityIsReservedForHalfAGang) {
+    for (std::uint64_t seed = 1; seed <= 4 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        Faults faults;
+        faults.exhausted_zone = "b";
+        ClusterSimulation simulation(seed, faults);
+        for (int n = 0; n < 4; ++n) {
+            wire::Json low = job("job-" + std::to_string(n), "standing", 1, 4);
+            low["crew"] = "blue";
+            low["urgency"] = "best_effort";
+            simulation.submit(low);
+        }
+        simulation.run_until(45'000);
+        ASSERT_EQ(simulation.running_tasks("a"), 4u);
+        simulation.set_faults(full());
+        wire::Json gang = job("job-9", "ensemble", 3, 4);
+        gang["scatter"] = true;
+        simulation.submit(gang);
+        simulation.expect_wait_below(kLongest);
+        simulation.run_until(240'000);
+        EXPECT_EQ(simulation.running_tasks("a"), 4u) << simulation.describe_running();
+    }
+}
+
+// What its own team keeps free for a gang is not kept from the others for longer.
+TEST(WaitingJobs, QuotaReservedForAGangIsNotReservedForever) {
+    for (std::uint64_t seed = 1; seed <= 4 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        ClusterSimulation simulation(seed, {});
+        wire::Json array = job("job-0", "sweep", 5, 2);  // ten of twelve
+        array["urgency"] = "urgent";
+        simulation.set_task_duration("job-0", 900'000);
+        simulation.submit(array);
+        simulation.run_until(30'000);
+        simulation.submit(job("job-1", "ensemble", 4, 2));
+        simulation.run_until(182'000);
+        ASSERT_EQ(simulation.leader()->open_jobs().at("job-1")->live_attempts, 0u);
+        simulation.submit(job("job-2", "sweep", 1, 1));
+        simulation.expect_wait_below(kLongest);
+        const Millis from = simulation.now();
+        while (simulation.final_state("job-2").empty() && simulation.now() < from + 120'000 &&
+               !HasFailure())
+            simulation.run_until(simulation.now() + 500);
+        EXPECT_GT(simulation.longest_wait(), 20'000);  // it was gathered
+        EXPECT_LT(simulation.longest_wait(), jobs::kMaxHoldBack + 10'000);
+    }
+}
+
+// A holder's long job keeps its block, where others would fit that can't be lent.
+TEST(WaitingJobs, AShardIsReclaimedWhenOthersNeedItsCapacity) {
+    std::size_t kept = 0;
+    for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
+        SCOPED_TRACE(seed);
+        ClusterSimulation simulation(seed, {}, 2);
+        simulation.submit(job("job-0", "ensemble", 4, 2));  // leaves machines to lend
+        while (simulation.accepted_shard_grants() == 0 && simulation.now() < 200'000)
+            simulation.run_until(simulation.now() + 200);
+        simulation.set_task_duration("job-1", 900'000);
+        simulation.submit(job("job-1", "sweep", 1, 1));
+        simulation.run_until(simulation.now() + 8'000);
+        if (simulation.leader()->open_jobs().at("job-1")->delegated_shard == kNone) continue;
+        ++kept;
+        simulation.set_faults(full());
+        for (int n = 2; n < 8; ++n) {
+            wire::Json replica = job("job-" + std::to_string(n), "standing", 1, 2);
+            if (n % 2 == 0) replica["crew"] = "blue";
+            simulation.submit(replica);
+        }
+        simulation.expect_wait_below(kLongest);
+        simulation.run_until(simulation.now() + 150'000);
+    }
+    EXPECT_GT(kept, 4u);
+}
+
+// Very many machines of a kind have processors left and no memory; the one that fits is the last.
+TEST(WaitingJobs, TheOnlyFittingMachineIsFoundAmongMany) {
+    ClusterSimulation simulation(1, {}, 0, {{"m", 64, 0, 8, 50, 1, 10, 4, 10, {"a"}}});
+    wire::Json many = job("job-0", "standing", 320, 0), one = job("job-1", "sweep", 1, 0);
+    many["mem_gb"] = 6.0;
+    simulation.submit(many);
+    simulation.run_until(60'000);
+    ASSERT_EQ(simulation.running_tasks("a"), 320u);
+    simulation.submit(one);
+    simulation.expect_wait_below(kLongest);
+    simulation.run_until(200'000);
+    EXPECT_EQ(simulation.final_state("job-1"), "done");
+}
+
+}  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -22,7 +22,7 @@
             {"save_cost_s", 4.0},  {"due_s", 900.0},      {"later", "ignored"}};
 }
 
-TEST(Wire, ReadsAJob) {
+TEST(Wire, ParsesAJob) {
     std::string error;
     auto j = wire::parse_job(good_job(), error);
     ASSERT_TRUE(j) << error;
@@ -35,7 +35,7 @@
 }
 
 // Guards the process: the CBOR reader recurses, and a body of brackets would overflow its stack.
-TEST(Wire, DeepAndBrokenBodiesAreRefused) {
+TEST(Wire, DeeplyNestedAndMalformedBodiesAreRejected) {
     EXPECT_FALSE(wire::decode_map(std::string(64 * 1024, '\x81')));
     EXPECT_FALSE(wire::decode_map(std::string(60 * 1024, '\xa1')));
     EXPECT_FALSE(wire::decode_map(""));
@@ -47,7 +47,7 @@
     EXPECT_FALSE(wire::decode_map(good + "x"));
 }
 
-TEST(Wire, FuzzedReportsNeverCrash) {
+TEST(Wire, FuzzedHeartbeatsNeverCrash) {
     Json report = {
         {"host", "i-000231"},
         {"address", "10.1.0.232:9000"},
@@ -62,7 +62,7 @@
          Json::array(
              {{{"leg", "job-000412/3"}, {"try", 2}, {"status", "running"}},
               {{"leg", "job-000398/0"}, {"try", 1}, {"status", "exited"}, {"cause", "done"}}})}};
-    auto whole = wire::parse_report(report);
+    auto whole = wire::decode_heartbeat(report);
     ASSERT_TRUE(whole);
     ASSERT_EQ(whole->tasks.size(), 2u);
     EXPECT_EQ(whole->tasks[0].task, 3u);
@@ -73,7 +73,7 @@
     for (int i = 0; i < 20000; ++i) {
         std::string b = bytes;
         for (int k = 0; k < 3; ++k) b[random() % b.size()] = static_cast<char>(random());
-        if (auto body = wire::decode_map(b)) read += wire::parse_report(*body) ? 1 : 0;
+        if (auto body = wire::decode_map(b)) read += wire::decode_heartbeat(*body) ? 1 : 0;
     }
     EXPECT_GT(read, 0);
     EXPECT_LT(read, 20000);
@@ -91,11 +91,11 @@
       "limits":{"cpu":0.12,"mem_mb":104.0,"fd_limit":1800},"time_bound_ms":1000.0},"unknown":1})";
 }
 
-TEST(Wire, SettingsAreCheckedByName) {
-    auto s = wire::parse_settings(settings_text());
-    EXPECT_EQ(s.peers.size(), 1u);
-    EXPECT_EQ(s.objectives.size(), 1u);  // a kind of a later version is passed over
-    EXPECT_EQ(s.state_txn_ops, 12u);
+TEST(Wire, SettingsErrorsNameTheField) {
+    auto settings = wire::parse_settings(settings_text());
+    EXPECT_EQ(settings.peers.size(), 1u);
+    EXPECT_EQ(settings.objectives.size(), 1u);  // a kind of a later version is passed over
+    EXPECT_EQ(settings.state_txn_ops, 12u);
     auto without = [](const std::string& cut, const std::string& put) {
         std::string t = settings_text();
         auto at = t.find(cut);
@@ -115,7 +115,7 @@
     EXPECT_NE(without("\"facts\"", "\"fact\"").find("facts"), std::string::npos);
 }
 
-TEST(Admin, SettingsAreCheckedAndStored) {
+TEST(Admin, SettingsAreValidatedAndStored) {
     admin::Options options;
     std::string error;
     EXPECT_EQ(admin::find_option("rules"), nullptr);
@@ -128,12 +128,12 @@
         EXPECT_FALSE(admin::set_option(options, *lent, bad, error)) << bad;
         EXPECT_NE(error.find("from 0 to 16"), std::string::npos);
     }
-    EXPECT_EQ(options.lent_machines, 3);
+    EXPECT_EQ(options.delegated_machines, 3);
     Json record = admin::options_json(options);
     record["use_spot"] = 5;        // out of range in a record: passed over
     record["of_later"] = "value";  // of another version
     admin::Options back = admin::read_options(record);
-    EXPECT_EQ(back.lent_machines, 3);
+    EXPECT_EQ(back.delegated_machines, 3);
     EXPECT_EQ(back.use_spot, admin::Options{}.use_spot);
 }
 
