--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -165,82 +165,73 @@
                                                   " " + std::to_string(events_) + " " + hash);
 }
 
-void Trace::append(const Json& event) {
-    constexpr int kCompact = -1;
-    std::string line =
-        event.dump(kCompact, ' ', true, Json::error_handler_t::replace);  // texts may be no UTF-8
-    line += '\n';
+void Trace::take_in(const std::string& event) {
     ++events_;
-    hash_ = extend_hash(hash_, line);
-    if (full_.is_open()) full_ << line;
+    hash_ = extend_hash(extend_hash(hash_, event), "\n");
+    if (full_.is_open()) full_ << event << "\n";
+}
+
+JsonWriter& JsonWriter::end() {
+    if (text_.back() == ',') text_.pop_back();
+    text_ += ']';
+    return *this;
+}
+
+void JsonWriter::write(std::string_view text) {
+    const bool as_it_is = std::all_of(text.begin(), text.end(), [](char c) {
+        return c >= ' ' && c < '\x7f' && c != '"' && c != '\\';
+    });
+    if (!as_it_is) return write(Json(std::string(text)));
+    text_ += '"';
+    text_ += text;
+    text_ += '"';
+}
+
+void JsonWriter::write(double number) { write(Json(number)); }
+
+void JsonWriter::write(const Json& value) {
+    constexpr int kCompact = -1;
+    constexpr bool kEscapeToAscii = true;
+    // Texts of odd requests may be no UTF-8.
+    text_ += value.dump(kCompact, ' ', kEscapeToAscii, Json::error_handler_t::replace);
 }
 
 Trace& test_trace() { return TraceRecorder::instance().shared(); }
 
-Json traced(const kvstore::Transaction& transaction) {
-    Json conditions = Json::array(), writes = Json::array();
-    for (const kvstore::Condition& c : transaction.conditions) {
-        Json condition = Json::array();
-        condition.push_back(c.key);
-        condition.push_back(c.version);
-        conditions.push_back(std::move(condition));
-    }
+JsonWriter traced(const kvstore::Transaction& transaction) {
+    std::vector<JsonWriter> conditions, writes;
+    for (const kvstore::Condition& c : transaction.conditions)
+        conditions.push_back(JsonWriter().array(c.key, c.version));
     for (const kvstore::Write& w : transaction.writes) {
-        Json write = Json::array();
-        write.push_back(w.value ? "put" : "delete");
-        write.push_back(w.key);
-        write.push_back(w.lease_id);
-        if (w.value) write.push_back(*w.value);
-        writes.push_back(std::move(write));
+        writes.push_back(w.value ? JsonWriter().array("put", w.key, w.lease_id, *w.value)
+                                 : JsonWriter().array("delete", w.key, w.lease_id));
     }
-    Json out = Json::array();
-    out.push_back(std::move(conditions));
-    out.push_back(std::move(writes));
-    out.push_back(static_cast<int>(transaction.request_class));
-    return out;
+    return JsonWriter().array(conditions, writes, static_cast<int>(transaction.request_class));
 }
 
-Json traced(const std::vector<wire::Command>& commands) {
-    Json out = Json::array();
-    for (const wire::Command& c : commands) {
-        Json command = Json::array();
-        command.push_back(name_of(c.op));
-        command.push_back(c.job);
-        command.push_back(c.task);
-        command.push_back(c.attempt);
-        command.push_back(c.grace_s);
-        out.push_back(std::move(command));
-    }
-    return out;
+JsonWriter traced(const std::vector<wire::Command>& commands) {
+    JsonWriter out;
+    out.begin();
+    for (const wire::Command& c : commands)
+        out.item(JsonWriter().array(name_of(c.op), c.job, c.task, c.attempt, c.grace_s));
+    return out.end();
 }
 
-Json traced(const machines::HeartbeatReply& answer) {
-    Json out = Json::array();
-    out.push_back(answer.status);
-    out.push_back(answer.holder);
-    out.push_back(answer.token);
-    out.push_back(traced(answer.commands));
-    return out;
+JsonWriter traced(const machines::HeartbeatReply& reply) {
+    return JsonWriter().array(reply.status, reply.holder, reply.token, traced(reply.commands));
 }
 
-Json traced(const cloud::ProvisionReply& reply) {
-    Json out = Json::array();
-    out.push_back(static_cast<int>(reply.result));
-    out.push_back(reply.machines);
-    return out;
+JsonWriter traced(const cloud::ProvisionReply& reply) {
+    return JsonWriter().array(static_cast<int>(reply.result), reply.machines);
 }
 
-Json traced(const peers::PeerFrame& message) { return hexadecimal(message.frame); }
+std::string traced(const peers::PeerFrame& message) { return hexadecimal(message.frame); }
 
-Json traced(const peers::LeaderFrame& message) { return hexadecimal(message.frame); }
+std::string traced(const peers::LeaderFrame& message) { return hexadecimal(message.frame); }
 
-Json traced(const net::Response& response) {
-    Json out = Json::array();
-    out.push_back(response.status);
-    out.push_back(hexadecimal(response.body));
-    out.push_back(response.retry_after_s);
-    out.push_back(response.type);
-    return out;
+JsonWriter traced(const net::Response& response) {
+    return JsonWriter().array(response.status, hexadecimal(response.body), response.retry_after_s,
+                              response.type);
 }
 
 }  // namespace nickelramp::test
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -9,6 +9,7 @@
 //   NICKELRAMP_TRACE_EVENTS   write every event there, a file for each trace: two runs can be
 //                             compared line by line
 #pragma once
+#include <concepts>
 #include <cstdint>
 #include <fstream>
 #include <string>
@@ -26,6 +27,49 @@
 
 using kvstore::Json;
 
+// Writes JSON text without building a value first: traces have millions of events.
+class JsonWriter {
+  public:
+    // An array of them.
+    template <typename... Items>
+    JsonWriter& array(const Items&... items) {
+        begin();
+        (item(items), ...);
+        return end();
+    }
+    JsonWriter& begin() {
+        text_ += '[';
+        return *this;
+    }
+    JsonWriter& end();
+    template <typename Value>
+    JsonWriter& item(const Value& value) {
+        write(value);
+        text_ += ',';
+        return *this;
+    }
+    const std::string& text() const { return text_; }
+    void clear() { text_.clear(); }
+
+  private:
+    void write(const char* text) { write(std::string_view(text)); }
+    void write(const std::string& text) { write(std::string_view(text)); }
+    void write(std::string_view text);
+    void write(bool flag) { text_ += flag ? "true" : "false"; }
+    void write(std::integral auto number) { text_ += std::to_string(number); }
+    void write(double number);
+    void write(const Json& value);
+    void write(const JsonWriter& written) { text_ += written.text_; }
+    template <typename Item>
+    void write(const std::vector<Item>& items) {
+        begin();
+        for (const Item& each : items) item(each);
+        end();
+    }
+
+    std::string text_;
+};
+
 // The trace of one simulation. It is made within a test, and is complete when it is destroyed.
 class Trace {
   public:
@@ -36,24 +80,23 @@
     Trace& operator=(const Trace&) = delete;
 
     // An event: when it happened in simulated time (0 where a test has none), its kind, and all
-    // that belongs to it. `sender`, where there are several, is among the fields.
+    // that belongs to it, the sender too where there are several.
     template <typename... Fields>
     void add(Millis now, const char* kind, const Fields&... fields) {
-        Json event = Json::array();
-        event.push_back(now);
-        event.push_back(kind);
-        (event.push_back(Json(fields)), ...);
-        append(event);
+        event_.clear();
+        event_.array(now, kind, fields...);
+        take_in(event_.text());
     }
 
   private:
     friend class TraceRecorder;
     explicit Trace(std::size_t ordinal);
-    void append(const Json& event);
+    void take_in(const std::string& event);
 
     std::size_t ordinal_;
     std::size_t events_ = 0;
     std::uint64_t hash_;
+    JsonWriter event_;
     std::ofstream full_;  // open if every event is to be written
 };
 
@@ -62,12 +105,12 @@
 Trace& test_trace();
 
 // Messages as they appear in a trace.
-Json traced(const kvstore::Transaction& transaction);
-Json traced(const std::vector<wire::Command>& commands);
-Json traced(const machines::HeartbeatReply& answer);
-Json traced(const cloud::ProvisionReply& reply);
-Json traced(const peers::PeerFrame& message);
-Json traced(const peers::LeaderFrame& message);
-Json traced(const net::Response& response);
+JsonWriter traced(const kvstore::Transaction& transaction);
+JsonWriter traced(const std::vector<wire::Command>& commands);
+JsonWriter traced(const machines::HeartbeatReply& reply);
+JsonWriter traced(const cloud::ProvisionReply& reply);
+std::string traced(const peers::PeerFrame& message);
+std::string traced(const peers::LeaderFrame& message);
+JsonWriter traced(const net::Response& response);
 
 }  // namespace nickelramp::test
