--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -156,9 +156,6 @@
         // For its trace: a plan when all that was forecast is past.
         request["id"] = "up-2";
         p.plan(request, 60'000);
-        // For its trace: a plan when all that was forecast is past.
-        request["id"] = "up-2";
-        p.plan(request, 60'000);
     }));
 }
 
