--- a/models/duties.pml
+++ b/models/roles.pml
@@ -1,4 +1,4 @@
-/* The duty lease, its fence and the intents written ahead (docs/design/duties.md), for two
+/* The duty lease, its fence and the intents written ahead (docs/design/roles.md), for two
  * controllers of which either may lead, one machine that is not needed, and a need for one more.
  *
  * What is modelled: leadership as a right that its holder's own clock ends before the hold ends; a
