--- a/tests/dependency_automata_test.cpp
+++ b/tests/dependency_automata_test.cpp
@@ -68,7 +68,7 @@
                    (submitted[i] ? " submitted" : "") + (never[i] ? " never" : "") + "; ";
         }
         out += "happened:";
-        for (std::size_t e : history) out += " " + std::to_string(e);
+        for (std::size_t e : history) out.append(" ").append(std::to_string(e));
         return out;
     }
     // Is there any way to accept e now?
