--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -1,11 +1,28 @@
 #include "tests/cluster_simulation.h"
 
-#include <algorithm>
-
 namespace nickelramp::test {
 
 using wire::Json;
 
+namespace {
+
+constexpr Millis kCheckEvery = 500;
+constexpr double kCheckEvery_s = 0.5;
+constexpr Millis kAskAgainAfter = 1'000;
+
+std::vector<wire::MachineType> default_machine_types() {
+    return {{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}},
+            {"g2", 8, 2, 32, 50, 1, 6, 3, 10, {"a"}}};
+}
+
+wire::Settings settings_with_holders(bool holders) {
+    wire::Settings settings = simulation_settings();
+    if (holders) settings.peers = {{"holder-0", "a", "x"}, {"holder-1", "b", "x"}};
+    return settings;
+}
+
+}  // namespace
+
 wire::Settings simulation_settings() {
     wire::Settings settings;
     settings.name = "node";
@@ -23,129 +40,182 @@
 }
 
 Json job(const std::string& id, const std::string& shape, std::uint32_t tasks, double gpus) {
-    return {{"id", id},
-            {"jobclass", shape},
-            {"crew", "red"},
-            {"shape", shape},
-            {"urgency", shape == "standing"   ? "prod"
-                        : shape == "ensemble" ? "urgent"
-                                              : "normal"},
-            {"legs", tasks},
-            {"cores", 2.0},
-            {"cards", gpus},
-            {"mem_gb", 4.0},
-            {"bundle", "img-1"},
-            {"pull_gb", 2.0},
-            {"rigs", nullptr},
-            {"yard", nullptr},
-            {"one_zone", false},
-            {"scatter", false},
-            {"standby", false},
-            {"guess_s", 10.0},
-            {"save_every_s", 5.0},
-            {"save_cost_s", 2.0},
-            {"due_s", nullptr}};
-}
-
-wire::Heartbeat report(std::uint64_t session, std::uint64_t seq, std::uint64_t token) {
+    const char* urgency = shape == "standing" ? "prod" : shape == "ensemble" ? "urgent" : "normal";
+    return {{"id", id},           {"jobclass", shape},   {"crew", "red"},      {"shape", shape},
+            {"urgency", urgency}, {"legs", tasks},       {"cores", 2.0},       {"cards", gpus},
+            {"mem_gb", 4.0},      {"bundle", "img-1"},   {"pull_gb", 2.0},     {"rigs", nullptr},
+            {"yard", nullptr},    {"one_zone", false},   {"scatter", false},   {"standby", false},
+            {"guess_s", 10.0},    {"save_every_s", 5.0}, {"save_cost_s", 2.0}, {"due_s", nullptr}};
+}
+
+wire::Heartbeat report(std::uint64_t incarnation, std::uint64_t sequence, std::uint64_t token) {
     wire::Heartbeat heartbeat;
-    heartbeat.incarnation = session;
-    heartbeat.sequence = seq;
+    heartbeat.incarnation = incarnation;
+    heartbeat.sequence = sequence;
     heartbeat.token = token;
     return heartbeat;
 }
 
-ClusterSimulation::ClusterSimulation(std::uint64_t seed, Faults faults, std::uint32_t share,
+ClusterSimulation::ClusterSimulation(std::uint64_t seed, Faults faults, std::uint32_t delegated,
                                      std::vector<wire::MachineType> types)
-    : settings_(simulation_settings()), share_(share), faults_(faults), random_(seed) {
-    types_ = std::move(types);
-    if (types_.empty()) {
-        types_ = {{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}},
-                  {"g2", 8, 2, 32, 50, 1, 6, 3, 10, {"a"}}};
-    }
-    if (share > 0) settings_.peers = {{"holder-0", "a", "x"}, {"holder-1", "b", "x"}};
-    for (std::size_t i = 0; i < 2 && share > 0; ++i) {
+    : context_(seed, std::move(faults)),
+      settings_(settings_with_holders(delegated > 0)),
+      types_(types.empty() ? default_machine_types() : std::move(types)),
+      network_(context_, delegated > 0),
+      workers_(context_, settings_, types_, network_, jobs_,
+               {[this](const wire::Command& command) {
+                    const bool known = checker_.check_start_command(command);
+                    if (known) waiting_jobs_.on_start(command.job);
+                    return known;
+                },
+                [this](const SimulatedMachine& machine, const TaskId& id) {
+                    checker_.check_task_begun(machine, id);
+                }}),
+      cloud_(context_, workers_, [this](const std::string& name) { on_machine_booted(name); }),
+      store_(context_, settings_,
+             {[this](const std::string& key, const Json& value) { on_record_write(key, value); },
+              [this](const std::string& key) { on_record_delete(key); }}),
+      checker_(context_, settings_, workers_, jobs_),
+      waiting_jobs_(context_, settings_, workers_, network_, jobs_),
+      delegated_machines_(delegated) {
+    for (std::size_t i = 0; i < 2 && delegated > 0; ++i) {
         holder_settings_[i] = settings_;
         holder_settings_[i].name = "holder-" + std::to_string(i);
-        controllers_.push_back(std::make_unique<Controller>());
-        controllers_.back()->simulation = this;
+        controllers_.push_back(std::make_unique<Controller>(*this, i));
         start_holder(i);
     }
     fail_over();
-    if (share > 0) at(100, [this] { exchange_peer_messages(); });
+    if (delegated > 0) context_.at(100, [this] { exchange_peer_messages(); });
 }
 
 ClusterSimulation::~ClusterSimulation() = default;
 
-void ClusterSimulation::request_cancel_until_answered(const std::string& id) {
-    if (!final_state(id).empty()) return;
-    if (state_service_up()) cancel(id);
-    at(now_ + 1'000, [this, id] { request_cancel_until_answered(id); });
-}
-
-void ClusterSimulation::set_options(const admin::Options& options) {
-    options_ = options;
-    options_.delegated_machines = share_;
-    if (leader() != nullptr) leader()->set_options(options_);
+void ClusterSimulation::run_until(Millis time) {
+    Millis next_check = now();
+    while (now() < time && !testing::Test::HasFailure()) {
+        context_.advance(std::min(time, next_check));
+        if (now() < next_check) continue;
+        next_check = now() + kCheckEvery;
+        checker_.check_all();
+        waiting_jobs_.check([this](const std::string& id) { return final_state(id).empty(); });
+        if (context_.chance(context_.faults.failovers_per_s * kCheckEvery_s)) fail_over();
+        if (context_.chance(context_.faults.machine_failures_per_s * kCheckEvery_s)) {
+            if (const std::string name = any_machine(); !name.empty()) kill_machine(name);
+        }
+    }
 }
 
 void ClusterSimulation::submit(const Json& spec) {
     std::string error;
-    auto parsed = wire::parse_job(spec, error);
+    const auto parsed = wire::parse_job(spec, error);
     ASSERT_TRUE(parsed) << error;
-    specs_[parsed->id] = *parsed;
-    // Its user comes again until there is room.
-    if (!take_write_budget(2)) return at(now_ + 1'000, [this, spec] { submit(spec); });
-    set_key(jobs::job_key(parsed->id), Json{{"final", nullptr}, {"tasks", parsed->tasks}});
-    set_key(jobs::open_key(parsed->id), jobs::encode_open_record(spec, now_, false));
+    jobs_.add(*parsed);
+    if (!store_.take_write_budget(2)) {
+        context_.after(kAskAgainAfter, [this, spec] { submit(spec); });
+        return;
+    }
+    store_.put(jobs::job_key(parsed->id), Json{{"final", nullptr}, {"tasks", parsed->tasks}});
+    store_.put(jobs::open_key(parsed->id), jobs::encode_open_record(spec, now(), false));
     notify_leader(jobs::open_key(parsed->id));
 }
 
 void ClusterSimulation::cancel(const std::string& id) {
-    auto open = keys_.find(jobs::open_key(id));
-    if (open == keys_.end() || !final_state(id).empty()) return;
-    cancel_requested_.insert(id);
-    Json record = open->second.value;
-    if (wire::flag_field(record, "unwanted").value_or(false) || !take_write_budget(1)) return;
+    const std::string key = jobs::open_key(id);
+    const auto* open = store_.find(key);
+    if (open == nullptr || !final_state(id).empty()) return;
+    jobs_.request_cancel(id);
+    Json record = open->value;
+    if (wire::flag_field(record, "unwanted").value_or(false) || !store_.take_write_budget(1))
+        return;
     record["unwanted"] = true;
     kvstore::Transaction transaction;
-    transaction.conditions = {{jobs::open_key(id), open->second.version}};
-    transaction.writes = {{jobs::open_key(id), record}};
-    // It may be carried out late, when its user has asked again.
-    const bool late = chance(faults_.unknown_commits);
-    auto write = [this, transaction, id, late] {
-        const bool ok =
-            state_service_up() && apply_transaction(transaction).status == kvstore::Status::ok;
-        if (late) ++(ok ? coverage_.late_commits_applied : coverage_.late_commits_refused);
-        if (ok) notify_leader(jobs::open_key(id));
+    transaction.conditions = {{key, open->version}};
+    transaction.writes = {{key, record}};
+    // It may be applied late, when its user has asked again.
+    const bool late = context_.chance(context_.faults.unknown_commits);
+    auto write = [this, transaction, key, late] {
+        const bool applied =
+            store_.up() && store_.commit(transaction).status == kvstore::Status::ok;
+        Coverage& coverage = context_.coverage;
+        if (late) ++(applied ? coverage.late_commits_applied : coverage.late_commits_refused);
+        if (applied) notify_leader(key);
     };
     if (late)
-        at(now_ + 2'000 + delay(10'000), write);
+        context_.after(2'000 + context_.delay(10'000), write);
     else
         write();
 }
 
-void ClusterSimulation::run_until(Millis t) {
-    Millis next_check = now_;
-    while (now_ < t && !testing::Test::HasFailure()) {
-        Millis next = std::min(t, next_check);
-        if (!queue_.empty()) next = std::min(next, queue_.begin()->first);
-        now_ = std::max(now_, next);
-        while (!queue_.empty() && queue_.begin()->first <= now_) {
-            auto f = std::move(queue_.begin()->second);
-            queue_.erase(queue_.begin());
-            f();
-        }
-        if (now_ >= next_check) {
-            next_check = now_ + 500;
-            check_all();
-            if (longest_wait_ != kNever) check_waiting_jobs();
-            if (chance(faults_.failovers_per_s * 0.5)) fail_over();
-            if (chance(faults_.machine_failures_per_s * 0.5)) {
-                if (std::string name = any_machine(); !name.empty()) kill_machine(name);
-            }
+void ClusterSimulation::request_cancel_until_answered(const std::string& id) {
+    if (!final_state(id).empty()) return;
+    if (state_service_up()) cancel(id);
+    context_.after(kAskAgainAfter, [this, id] { request_cancel_until_answered(id); });
+}
+
+std::vector<std::string> ClusterSimulation::jobs_reported_late(Millis longer) const {
+    std::vector<std::string> late;
+    for (const auto& [id, spec] : jobs_.specs()) {
+        if (final_state(id).empty() && jobs_.completed_before(id, now(), longer))
+            late.push_back(id);
+    }
+    return late;
+}
+
+void ClusterSimulation::expect_wait_below(Millis longest) {
+    waiting_jobs_.expect_wait_below(
+        longest, [this] { return describe_running() + describe_cluster_state(); });
+}
+
+std::string ClusterSimulation::any_machine() const {
+    const auto all = working_machines();
+    return all.empty() ? "" : all.front();
+}
+
+void ClusterSimulation::fail_machine(const std::string& name) {
+    kill_machine(name);
+    workers_.machine(name).failed = true;
+}
+
+void ClusterSimulation::restart_machine(const std::string& name) {
+    SimulatedMachine& machine = workers_.machine(name);
+    if (!workers_.restart(machine)) return;
+    context_.after(context_.delay(300), [this, name, generation = machine.process_generation] {
+        send_heartbeat(name, generation);
+    });
+}
+
+std::string ClusterSimulation::inconsistent_job() {
+    if (leader() == nullptr) return "nobody leads";
+    for (const auto& [id, job] : leader()->open_jobs()) {
+        if (store_.find(jobs::open_key(id)) == nullptr && job->state != jobs::JobState::finished)
+            return id + " has no open record, and the leader has it as " + jobs::name(job->state);
+    }
+    for (const auto& [key, stored] : store_.keys()) {
+        const std::string id = jobs::job_id_of_open_key(key);
+        if (!id.empty() && leader()->open_jobs().count(id) == 0)
+            return id + " is open, and the leader does not have it";
+    }
+    return "";
+}
+
+std::string ClusterSimulation::describe_cluster_state() {
+    if (leader() == nullptr) return "nobody leads";
+    std::string text;
+    for (const auto& [id, job] : leader()->open_jobs()) {
+        const auto* open = store_.find(jobs::open_key(id));
+        const bool unwanted =
+            open != nullptr && wire::flag_field(open->value, "unwanted").value_or(false);
+        text += id + " is " + jobs::name(job->state) + ", version " + std::to_string(job->version) +
+                " of " + std::to_string(open == nullptr ? 0 : open->version) +
+                (unwanted ? ", cancel requested" : "") +
+                (job->commit_in_flight ? ", commit in flight" : "") + ":";
+        for (const auto& attempt : job->attempts) {
+            text += std::string(" ") + jobs::name(attempt->state) +
+                    (attempt->stop_wanted ? "(stopping)" : "");
         }
+        text += "; ";
     }
+    return text;
 }
 
 }  // namespace nickelramp::test
--- /dev/null
+++ b/tests/cluster_simulation_calls.cpp
@@ -0,0 +1,137 @@
+// Controllers' calls to the cloud, and their commands to workers.
+#include <algorithm>
+
+#include "tests/cluster_simulation.h"
+
+namespace nickelramp::test {
+
+using wire::Command;
+
+namespace {
+constexpr Millis kCloudCallTravels = 300, kCloudTimeout = 4'000;
+constexpr Millis kCommandTravels = 10, kCommandTimeout = 2'000, kLatestCommand = 60'000;
+}  // namespace
+
+ClusterSimulation::CloudDelivery ClusterSimulation::cloud_delivery() {
+    const Faults& faults = context_.faults;
+    if (faults.cloud_down) return {now() + kAfterTheEnd, true};
+    const Millis held = send_fault();
+    const bool late = held > 0 || context_.chance(faults.late_cloud_calls);
+    const bool lost = late || context_.chance(faults.lost_cloud_replies);
+    if (held > 0) return {now() + held, lost};
+    if (late) return {now() + kCloudTimeout + context_.delay(56'000), lost};
+    return {now() + context_.delay(kCloudCallTravels), lost};
+}
+
+void ClusterSimulation::Controller::provision_machines(
+    const std::string& request, const std::string& type, const std::string& zone, bool spot,
+    std::uint32_t count, std::function<void(Millis, const cloud::ProvisionReply&)> done) {
+    trace("rent", request, type, zone, spot, count);
+    ClusterSimulation& owner = simulation;
+    owner.provisioned_types_.push_back(type);
+    const CloudDelivery delivery = owner.cloud_delivery();
+    const ProvisionRequest asked{request, type, zone, spot, count};
+    owner.context_.at(delivery.arrive_at, [&owner, asked, done, lost = delivery.lost] {
+        const cloud::ProvisionReply reply = owner.cloud_.provision(asked);
+        if (lost) return;
+        for (const std::string& name : reply.machines)
+            owner.workers_.machine(name).named_in_rental_reply = true;
+        done(owner.now(), reply);
+    });
+    if (!delivery.lost) return;
+    owner.context_.after(kCloudTimeout,
+                         [&owner, done] { done(owner.now(), cloud::ProvisionReply{}); });
+}
+
+void ClusterSimulation::Controller::release_machines(const std::vector<std::string>& names,
+                                                     std::function<void(Millis, bool)> done) {
+    trace("return", names);
+    ClusterSimulation& owner = simulation;
+    const CloudDelivery delivery = owner.cloud_delivery();
+    owner.context_.at(delivery.arrive_at,
+                      [&owner, names, done, lost = delivery.lost, asked_by = term] {
+                          owner.cloud_.release(names, asked_by);
+                          if (!lost) done(owner.now(), true);
+                      });
+    if (delivery.lost)
+        owner.context_.after(kCloudTimeout, [&owner, done] { done(owner.now(), false); });
+}
+
+ClusterSimulation::CommandDelivery ClusterSimulation::command_delivery(const std::string& machine) {
+    CommandDelivery delivery;
+    delivery.delayed = context_.chance(context_.faults.delayed_commands);
+    delivery.lost = delivery.delayed || context_.chance(context_.faults.lost_command_replies);
+    delivery.arrive_at =
+        now() + context_.delay(delivery.delayed ? kLatestCommand : kCommandTravels);
+    const SimulatedMachine* receiver = workers_.find(machine);
+    const Partition* partition = receiver == nullptr ? nullptr : network_.partition_of(*receiver);
+    if (partition == nullptr) return delivery;
+    delivery.lost = true;
+    delivery.arrive_at =
+        partition->delays_commands ? partition->until + context_.delay(500) : now() + kAfterTheEnd;
+    return delivery;
+}
+
+// The worker's reply; none if the commands do not reach it.
+std::optional<cluster::CommandReply> ClusterSimulation::execute_commands(
+    const std::string& name, std::uint64_t token, std::uint64_t incarnation,
+    const std::vector<Command>& commands, bool delayed) {
+    SimulatedMachine* machine = workers_.find(name);
+    if (machine == nullptr || !machine->running() || now() < machine->inbound_blocked_until ||
+        now() < machine->commands_blocked_until)
+        return std::nullopt;
+    workers_.advance(*machine);  // its incarnation may have ended by now
+    cluster::CommandReply reply;
+    reply.delivery = cluster::DeliveryStatus::delivered;
+    reply.executed = token >= machine->token && incarnation == machine->incarnation;
+    Coverage& coverage = context_.coverage;
+    if (delayed)
+        ++(reply.executed ? coverage.delayed_commands_executed : coverage.delayed_commands_refused);
+    if (reply.executed) {
+        machine->token = token;
+        workers_.execute(*machine, commands);
+    }
+    reply.heartbeat = workers_.make_heartbeat(*machine);
+    return reply;
+}
+
+void ClusterSimulation::Controller::send_commands(
+    const std::string& machine, const std::string& address, std::uint64_t token,
+    std::uint64_t incarnation, const std::vector<Command>& commands,
+    std::function<void(Millis, const cluster::CommandReply&)> done) {
+    trace("direct", machine, address, token, incarnation, traced(commands));
+    ClusterSimulation& owner = simulation;
+    SimulationContext& context = owner.context_;
+    auto refuse_after = [&context, &done](Millis wait) {
+        context.after(wait, [&context, done] {
+            cluster::CommandReply reply;
+            reply.delivery = cluster::DeliveryStatus::refused;
+            done(context.now(), reply);
+        });
+    };
+    // As the lease guard of controller::Controller decides.
+    const bool starts = std::any_of(commands.begin(), commands.end(), [](const Command& command) {
+        return command.op == Command::Op::start;
+    });
+    const bool leads_by_lease = owner.leader_leases_ && control_loop;
+    if (leads_by_lease && (starts ? context.now() >= leads_until : !owner.may_respond(*this)))
+        return refuse_after(1);
+    if (context.faults.refused_commands > 0 && context.chance(context.faults.refused_commands))
+        return refuse_after(context.delay(kCommandTravels));
+    const CommandDelivery delivery = owner.command_delivery(machine);
+    auto replied = std::make_shared<bool>(false);
+    context.at(delivery.arrive_at, [=, &owner] {
+        const auto reply =
+            owner.execute_commands(machine, token, incarnation, commands, delivery.delayed);
+        if (!reply || delivery.lost) return;
+        *replied = true;
+        SimulationContext& shared = owner.context_;
+        shared.after(shared.delay(kCommandTravels),
+                     [&owner, reply = *reply, done] { done(owner.now(), reply); });
+    });
+    context.after(kCommandTimeout, [&context, done, replied] {
+        if (!*replied) done(context.now(), cluster::CommandReply{});
+    });
+}
+
+}  // namespace nickelramp::test
