--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -11,7 +11,14 @@
 using placement::Need;
 
 namespace {
-constexpr std::size_t kMostFound = 300;  // machines of a kind, for one job in one pass
+constexpr std::size_t kMaxMachinesPerKind = 300;  // that one search for a job returns
+constexpr double kReservedBonusS = 30;            // for a machine that is reserved for the job
+constexpr double kUnlimitedTasks = 1e6;
+
+// How many tasks fit into what is left of a quota.
+double tasks_in_quota(double left, double per_task) {
+    return (left + placement::kFitTolerance) / per_task;
+}
 }  // namespace
 
 bool PlacementRules::allowed(const Job& job, const Machine& machine) const {
@@ -23,33 +30,38 @@
 }
 
 std::uint32_t PlacementRules::tasks_within_limit(const Job& job) const {
-    if (term_.is_shard_holder()) return job.spec.tasks;  // the leader has set the room aside
-    const wire::Team& rule = cluster_.team_rule(job.team);
-    const cluster::TeamUsage& used = cluster_.team_usage(job.team);
-    double most = 1e6;
-    // A gang needs its part of the limit whole: what comes free is gathered for one that waits
+    if (term_.is_shard_holder()) return job.spec.tasks;  // the leader has set the quota aside
+    const wire::Team& quota = cluster_.team_rule(job.team);
+    const cluster::TeamUsage& usage = cluster_.team_usage(job.team);
+    // A gang needs its part of the quota at once: what comes free is reserved for one that waits
     // long, or small tasks would pass it for ever.
     const Job* gang = cluster_.quota_reserved_for(job.team);
-    placement::Need kept;
+    Need reserved;
     if (gang != nullptr && gang != &job && job.spec.priority != wire::Priority::production) {
-        kept.cpus = gang->spec.cpus * gang->spec.tasks;
-        kept.gpus = gang->spec.gpus * gang->spec.tasks;
+        reserved.cpus = gang->spec.cpus * gang->spec.tasks;
+        reserved.gpus = gang->spec.gpus * gang->spec.tasks;
     }
-    if (rule.cpus_max > 0 && job.spec.cpus > 0) {
-        const double free = rule.cpus_max - used.cpus - kept.cpus;
-        most = std::min(most, (free + placement::kFitTolerance) / job.spec.cpus);
+    double tasks = kUnlimitedTasks;
+    if (quota.cpus_max > 0 && job.spec.cpus > 0) {
+        const double left = quota.cpus_max - usage.cpus - reserved.cpus;
+        tasks = std::min(tasks, tasks_in_quota(left, job.spec.cpus));
     }
-    if (rule.gpus_max > 0 && job.spec.gpus > 0) {
-        const double free = rule.gpus_max - used.gpus - kept.gpus;
-        most = std::min(most, (free + placement::kFitTolerance) / job.spec.gpus);
+    if (quota.gpus_max > 0 && job.spec.gpus > 0) {
+        const double left = quota.gpus_max - usage.gpus - reserved.gpus;
+        tasks = std::min(tasks, tasks_in_quota(left, job.spec.gpus));
     }
-    return most <= 0 ? 0 : static_cast<std::uint32_t>(most);
+    return tasks <= 0 ? 0 : static_cast<std::uint32_t>(tasks);
 }
 
 bool PlacementRules::within_limit(const Job& job, std::uint32_t tasks) const {
     return tasks_within_limit(job) >= tasks;
 }
 
+double PlacementRules::placement_cost(const Job& job, const Machine& machine) const {
+    const double cost = placement::placement_cost(job, machine, cluster_.types()[machine.type]);
+    return machine.reserved_for == job.index ? cost - kReservedBonusS : cost;
+}
+
 bool PlacementRules::is_expensive(const Job& job, Index type, bool spot) {
     return job.spec.shape == wire::Shape::array &&
            job.relative_cost_of(type, spot) > placement::kExpensiveFactor;
@@ -70,8 +82,8 @@
     return placement::fits_within(machine.cpus_free, machine.gpus_free, machine.memory_free, need);
 }
 
-// What gangs leave of a machine that must be paid for anyway costs nothing; replicas move away from
-// it.
+// What gangs leave free on a machine that is paid for anyway costs nothing, so arrays may use it;
+// replicas would keep the machine when the gang has ended.
 bool PlacementRules::should_avoid(const Job& job, const Machine& machine) const {
     if (job.is_service())
         return job.avoids_expensive_machines &&
@@ -81,31 +93,31 @@
 }
 
 bool PlacementRules::reserved_for_replicas(const Job& job, const Machine& machine,
-                                           double kept) const {
+                                           double wanted_slots) const {
     return job.spec.spot && machine.counts_for_replicas &&
-           forecast_.replica_headroom().free_slots <= kept;
+           forecast_.replica_headroom().free_slots <= wanted_slots;
 }
 
 std::vector<Machine*> PlacementRules::fitting_machines(const Job& job, const Need& need,
                                                        Millis now) const {
-    std::vector<Machine*> out;
-    std::size_t found = 0;
+    std::vector<Machine*> machines;
+    std::size_t found_of_kind = 0;
     cluster_.free_capacity().for_each_candidate(
         need,
         [&](const placement::FreeCapacityIndex::MachineKind& kind) {
-            found = 0;
+            found_of_kind = 0;
             return kind.type < job.allowed_type.size() && job.allowed_type[kind.type] != 0 &&
                    (job.spec.spot || !kind.spot) && (job.zone == kNone || job.zone == kind.zone);
         },
-        [&](Index i) {
-            Machine* machine = cluster_.machine_by_index(i);
-            // Those that lack memory do not count: behind hundreds of them one with room once
+        [&](Index index) {
+            Machine* machine = cluster_.machine_by_index(index);
+            // Machines that lack memory do not count: behind hundreds of them one with room once
             // stayed unseen.
             if (!may_start_on(job, *machine, need, now)) return true;
-            out.push_back(machine);
-            return ++found < kMostFound;
+            machines.push_back(machine);
+            return ++found_of_kind < kMaxMachinesPerKind;
         });
-    return out;
+    return machines;
 }
 
 bool PlacementRules::may_preempt(const Attempt& attempt, const Job& job) const {
@@ -114,10 +126,10 @@
     if (victim.spec.priority < job.spec.priority) return true;
     if (!job.within_guaranteed_quota || victim.team == job.team || victim.within_guaranteed_quota)
         return false;
-    const wire::Team& rule = cluster_.team_rule(victim.team);
-    const cluster::TeamUsage& used = cluster_.team_usage(victim.team);
-    return used.gpus > rule.gpus + placement::kFitTolerance ||
-           (rule.gpus <= 0 && used.cpus > rule.cpus);
+    const wire::Team& guaranteed = cluster_.team_rule(victim.team);
+    const cluster::TeamUsage& usage = cluster_.team_usage(victim.team);
+    return usage.gpus > guaranteed.gpus + placement::kFitTolerance ||
+           (guaranteed.gpus <= 0 && usage.cpus > guaranteed.cpus);
 }
 
 }  // namespace nickelramp::scheduling
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -1,4 +1,6 @@
-// Who gets which machine: gangs whole, the rest task by task, and room made where that is worth it.
+/// @file
+/// Decides which machine starts which task: gangs as a whole, other jobs task by task; and preempts
+/// less urgent work where that is worth it.
 #pragma once
 #include <cstddef>
 
@@ -8,27 +10,35 @@
 
 namespace nickelramp::scheduling {
 
+/// Places jobs one at a time, in the order of JobQueue. The control loop calls it in each
+/// scheduling pass of a term while the lease is confirmed, on the loop thread. It keeps nothing
+/// between calls but where the next search for preemption begins; it sends nothing and reads no
+/// clock: all effects are changes of the ClusterState. Nothing fails; what finds no place is asked
+/// for again in the next pass.
 class Scheduler {
   public:
+    /// The references must outlive the scheduler.
     Scheduler(cluster::ClusterState& cluster, forecast::DemandForecast& forecast,
               const PlacementRules& rules)
         : cluster_(cluster), forecast_(forecast), rules_(rules) {}
 
-    // Places what it can of the job; true if nothing of it is left to start.
+    /// Starts as many tasks of the job as find a place, and makes room for the rest if the job is
+    /// urgent enough.
+    /// @param now milliseconds of the steady clock
+    /// @return true if no task of the job is left to start
     bool place_job(jobs::Job& job, Millis now);
 
   private:
-    bool place_tasks(jobs::Job& job, Millis now);
-    bool place_gang(jobs::Job& job, Millis now);
-    std::size_t machines_to_search(const jobs::Job& job, std::uint32_t tasks) const;
-    bool preempt_for(jobs::Job& job, std::uint32_t tasks, Millis now);
-    void update_limit_wait(jobs::Job& gang, Millis now);
-    void preempt_within_limit(jobs::Job& gang, Millis now);
+    [[nodiscard]] bool place_tasks(jobs::Job& job, Millis now);
+    [[nodiscard]] bool place_gang(jobs::Job& job, Millis now);
+    [[nodiscard]] bool make_room(jobs::Job& job, Millis now);
+    [[nodiscard]] bool preempt_for(jobs::Job& job, std::uint32_t tasks, Millis now);
+    void wait_for_quota(jobs::Job& gang, Millis now);
 
     cluster::ClusterState& cluster_;
     forecast::DemandForecast& forecast_;
     const PlacementRules& rules_;
-    std::size_t next_victim_search_index_ = 0;  // where the search for victims goes on
+    std::size_t next_searched_machine_ = 0;  // where the next search for preemption begins
 };
 
 }  // namespace nickelramp::scheduling
