--- a/src/machines/machine_registry.cpp
+++ b/src/machines/machine_registry.cpp
@@ -1,11 +1,9 @@
 #include "machines/machine_registry.h"
 
-#include <algorithm>
-
 namespace nickelramp::machines {
 
 namespace {
-constexpr std::size_t kGraves = 2000;
+constexpr std::size_t kMaxTombstones = 2000;
 }
 
 const char* name(MachineState state) {
@@ -30,10 +28,10 @@
 
 Machine* MachineRegistry::add(const std::string& name) {
     // Indices are not used again: lists of machines that failed a job outlive the machines.
-    Index i = static_cast<Index>(machines_.size());
+    const auto index = static_cast<Index>(machines_.size());
     machines_.push_back(std::make_unique<Machine>());
-    Machine* machine = machines_[i].get();
-    machine->index = i;
+    Machine* machine = machines_[index].get();
+    machine->index = index;
     machine->name = name;
     by_name_[name] = machine;
     all_.push_back(machine);
@@ -41,23 +39,26 @@
 }
 
 Machine* MachineRegistry::find(const std::string& name) const {
-    auto it = by_name_.find(name);
-    return it == by_name_.end() ? nullptr : it->second;
+    const auto found = by_name_.find(name);
+    return found == by_name_.end() ? nullptr : found->second;
 }
 
 void MachineRegistry::remove(Machine* machine) {
-    // Late reports of a machine that is gone must not bring it back.
-    if (tombstone_ring_.size() < kGraves) {
-        tombstone_ring_.push_back(machine->name);
-    } else {
-        tombstones_.erase(tombstone_ring_[next_tombstone_]);
-        tombstone_ring_[next_tombstone_] = machine->name;
-        next_tombstone_ = (next_tombstone_ + 1) % kGraves;
-    }
-    tombstones_[machine->name] = true;
+    add_tombstone(machine->name);
     by_name_.erase(machine->name);
     std::erase(all_, machine);
     machines_[machine->index].reset();
 }
 
+void MachineRegistry::add_tombstone(const std::string& name) {
+    if (tombstone_ring_.size() < kMaxTombstones) {
+        tombstone_ring_.push_back(name);
+    } else {
+        tombstones_.erase(tombstone_ring_[next_tombstone_]);
+        tombstone_ring_[next_tombstone_] = name;
+        next_tombstone_ = (next_tombstone_ + 1) % kMaxTombstones;
+    }
+    tombstones_.insert(name);
+}
+
 }  // namespace nickelramp::machines
--- a/src/machines/worker_channel.cpp
+++ b/src/machines/worker_channel.cpp
@@ -1,30 +1,19 @@
 #include "machines/worker_channel.h"
 
-#include <algorithm>
-
 namespace nickelramp::machines {
 
 namespace {
-// A worker waits so long for an answer; a report may have been under way as long.
-constexpr Millis kWorkerWaits = 4'000;
-constexpr Millis kSlack = 1'000;
-constexpr Millis kDoubtPart = 2;  // of a lease: probes are answered or have failed by then
+// A worker waits so long for a reply; a heartbeat may have been in flight as long.
+constexpr Millis kWorkerReplyTimeout = 4'000;
+constexpr Millis kLeaseSlack = 1'000;
+// Half a lease: probes have been answered or have failed by then.
+constexpr Millis kLeaseDivisor = 2;
 }  // namespace
 
-const char* name(EvidenceFreshness freshness) {
-    static const char* names[] = {"copy", "overtaken", "hint", "fresh", "anew"};
-    return names[static_cast<int>(freshness)];
-}
-
-const char* name(Reachability reachability) {
-    static const char* names[] = {"sound", "silent", "deaf", "partly", "mute"};
-    return names[static_cast<int>(reachability)];
-}
-
-void WorkerChannel::take_control(std::uint64_t token, Millis reached) {
+void WorkerChannel::take_control(std::uint64_t token, Millis reached_at) {
     *this = {};
     own_token_floor_ = last_issued_token_ = token;
-    last_issued_at_ = reached_at_ = heartbeat_at_ = reached;
+    last_issued_at_ = reached_at_ = heartbeat_at_ = reached_at;
 }
 
 void WorkerChannel::raise_token(std::uint64_t token, Millis now) {
@@ -38,31 +27,49 @@
     unreached_since_ = 0;
 }
 
+void WorkerChannel::note_heard(Millis now) {
+    heartbeat_at_ = now;
+    replies_only_since_ = 0;
+    if (unreached_since_ == 0) unreached_since_ = now;
+}
+
+bool WorkerChannel::made_under_own_token(const wire::Heartbeat& heartbeat) const {
+    return own_token_floor_ != 0 && heartbeat.token >= own_token_floor_;
+}
+
 void WorkerChannel::accept(const wire::Heartbeat& heartbeat, const MessagePosition& position,
                            Millis now) {
-    // Its lease has ended while the answer to one of its reports should have kept it.
-    if (position.incarnation > newest_proven_.incarnation &&
-        replied_incarnation_ == newest_proven_.incarnation && has_proof() &&
-        now < lease_would_end_at_) {
-        lease_lapsed_ = true;
-    }
+    const bool lost_lease = position.incarnation > newest_proven_.incarnation;
+    const bool was_replied_to = replied_incarnation_ == newest_proven_.incarnation && has_proof();
+    // Its lease has ended while the reply to one of its heartbeats should have kept it.
+    if (lost_lease && was_replied_to && now < lease_would_end_at_) lease_lapsed_ = true;
+    newest_proven_ = position;
+    token_ = heartbeat.token;
+}
+
+void WorkerChannel::accept_new_incarnation(const wire::Heartbeat& heartbeat,
+                                           const MessagePosition& position) {
     newest_proven_ = position;
+    newest_heartbeat_ = {};
     token_ = heartbeat.token;
+    // Copies from its former incarnation may have higher numbers: heartbeats must echo a new token.
+    own_token_floor_ = last_issued_token_ + 1;
+    lease_lapsed_ = incarnation_uncertain_ = false;
+    replied_incarnation_ = 0;
 }
 
 EvidenceFreshness WorkerChannel::on_heartbeat(const wire::Heartbeat& heartbeat,
                                               const HeartbeatArrival& arrival, Millis now) {
     const MessagePosition position{heartbeat.incarnation, heartbeat.sequence};
-    // One report is under way at a time: whoever has sent a later one drops the answer to this.
+    // A worker has one heartbeat in flight: once it has sent a later one, it drops the reply to
+    // this one.
     if (position <= newest_heartbeat_) return EvidenceFreshness::duplicate;
-    heartbeat_at_ = now;
-    replies_only_since_ = 0;
-    if (unreached_since_ == 0) unreached_since_ = now;
-    // The tokens that it has seen only rise while it lives: a later message with a lower one is of
-    // another life, before or after.
+    note_heard(now);
+    // The tokens that a worker has seen only rise while it lives: a later message with a lower one
+    // is of another incarnation, an earlier or a later one.
     if (has_proof() && position > newest_proven_ && heartbeat.token < token_)
         incarnation_uncertain_ = true;
-    if (own_token_floor_ == 0 || heartbeat.token < own_token_floor_ || incarnation_uncertain_)
+    if (!made_under_own_token(heartbeat) || incarnation_uncertain_)
         return EvidenceFreshness::unordered;
     newest_heartbeat_ = position;
     if (arrival.follows_reply) {
@@ -70,28 +77,23 @@
         lease_lapsed_ = false;
     }
     if (position <= newest_proven_) return EvidenceFreshness::overtaken;
-    if (heartbeat.token > token_ && heartbeat.token >= last_issued_token_)
-        note_reached(last_issued_at_);
+    const bool echoes_last_token =
+        heartbeat.token > token_ && heartbeat.token >= last_issued_token_;
+    if (echoes_last_token) note_reached(last_issued_at_);
     accept(heartbeat, position, now);
     return EvidenceFreshness::fresh;
 }
 
 EvidenceFreshness WorkerChannel::on_command_reply(const wire::Heartbeat& heartbeat,
-                                                  const MessagePosition& asked, Millis sent,
-                                                  Millis now) {
+                                                  const MessagePosition& newest_known,
+                                                  Millis sent_at, Millis now) {
     const MessagePosition position{heartbeat.incarnation, heartbeat.sequence};
-    note_reached(sent);
+    note_reached(sent_at);
     commands_lost_since_ = 0;
     if (replies_only_since_ == 0) replies_only_since_ = now;
-    // Made after it was asked, and yet not beyond what was known then.
-    if (position <= asked || incarnation_uncertain_) {
-        newest_proven_ = position;
-        newest_heartbeat_ = {};
-        token_ = heartbeat.token;
-        // Copies from its former life may have higher numbers: reports are to echo a new token.
-        own_token_floor_ = last_issued_token_ + 1;
-        lease_lapsed_ = incarnation_uncertain_ = false;
-        replied_incarnation_ = 0;
+    // Made after the command was sent, and yet not beyond what was known then: it has restarted.
+    if (position <= newest_known || incarnation_uncertain_) {
+        accept_new_incarnation(heartbeat, position);
         return EvidenceFreshness::new_incarnation;
     }
     if (position <= newest_proven_) return EvidenceFreshness::overtaken;
@@ -104,26 +106,26 @@
 }
 
 bool WorkerChannel::is_inbound_only(Millis lease, Millis now) const {
-    return replies_only_since_ != 0 && now - replies_only_since_ > lease / kDoubtPart;
+    return replies_only_since_ != 0 && now - replies_only_since_ > lease / kLeaseDivisor;
 }
 
 void WorkerChannel::on_reply_sent(Millis lease, Millis now) {
     replied_incarnation_ = newest_proven_.incarnation;
-    lease_would_end_at_ = now + lease - kWorkerWaits - kSlack;
+    lease_would_end_at_ = now + lease - kWorkerReplyTimeout - kLeaseSlack;
 }
 
 bool WorkerChannel::should_reply(Millis lease, Millis now) const {
     return !lease_lapsed_ &&
-           (unreached_since_ == 0 || now - unreached_since_ <= lease / kDoubtPart);
+           (unreached_since_ == 0 || now - unreached_since_ <= lease / kLeaseDivisor);
 }
 
-Reachability WorkerChannel::reachability(Millis patience, Millis now) const {
-    if (!lease_lapsed_ && now - reached_at_ <= patience) {
-        // It was reached meanwhile, so by answers alone.
-        const bool lost = commands_lost_since_ != 0 && now - commands_lost_since_ > patience;
-        return lost ? Reachability::replies_only : Reachability::reachable;
+Reachability WorkerChannel::reachability(Millis timeout, Millis now) const {
+    if (!lease_lapsed_ && now - reached_at_ <= timeout) {
+        // It was reached although commands were lost, so by replies alone.
+        const bool no_commands = commands_lost_since_ != 0 && now - commands_lost_since_ > timeout;
+        return no_commands ? Reachability::replies_only : Reachability::reachable;
     }
-    const bool heard_since = heartbeat_at_ > reached_at_ + patience;
+    const bool heard_since = heartbeat_at_ > reached_at_ + timeout;
     return heard_since || lease_lapsed_ ? Reachability::outbound_only : Reachability::unresponsive;
 }
 
--- a/src/machines/worker_channel.h
+++ b/src/machines/worker_channel.h
@@ -1,6 +1,10 @@
-// What is known of a worker's voice: which of its messages is the newest, what each of them proves,
-// and whether ours reach it (docs/design/evidence.md). A message tells of the moment at which it
-// was made, and copies come late: that it has arrived now proves nothing about now.
+/// \file
+/// What is known of the communication with one worker: which of its messages is the newest, what
+/// each of them proves, and whether ours reach it (docs/design/evidence.md).
+///
+/// A message tells of the moment at which it was made, and copies come late: that one arrives now
+/// proves nothing about now. Everything here is pure: times are arguments, in milliseconds of the
+/// controller's steady clock.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -10,111 +14,139 @@
 
 namespace nickelramp::machines {
 
-// copy:      of a report that the worker has given up already: it drops whatever is answered
-// overtaken: was under way while a later message was heard: it may be answered, its content is old
-// hint:      may be of any age: a reason to ask the worker, no more
-// fresh:     made after everything that was known
-// anew:      fresh, and of a worker that has begun with small numbers again; the token is to be
-//            raised, so that copies of what it said in its former life do not echo it
-enum class EvidenceFreshness { duplicate, overtaken, unordered, fresh, new_incarnation };
-const char* name(EvidenceFreshness freshness);
-// Is what it lists, and what it does not list, true of a moment after all that was known?
-inline bool proves_state(EvidenceFreshness freshness) {
+/// What a message proves.
+enum class EvidenceFreshness {
+    duplicate,  ///< of a heartbeat that the worker has given up: it drops whatever is replied
+    overtaken,  ///< in flight while a later message arrived: may be replied to, its content is old
+    unordered,  ///< may be of any age: a reason to probe the worker, no more
+    fresh,      ///< made after everything that was known
+    /// Fresh, and of a worker that counts from small numbers again. Its token must be raised, so
+    /// that copies from its former incarnation do not echo it.
+    new_incarnation,
+};
+
+/// Whether what the message lists, and what it does not list, was true after all that was known.
+[[nodiscard]] inline bool proves_state(EvidenceFreshness freshness) {
     return freshness == EvidenceFreshness::fresh || freshness == EvidenceFreshness::new_incarnation;
 }
 
-// sound:  what we send reaches it, as far as is known
-// silent: nothing shows that it is there
-// deaf:   its reports arrive, but answers or commands do not reach it
-// partly: answers to its reports reach it, and keep its lease; commands do not
-// mute:   it answers commands, and its reports do not come: what is on it ends with its lease
-enum class Reachability { reachable, unresponsive, outbound_only, replies_only, inbound_only };
-const char* name(Reachability reachability);
+/// Which messages pass between the controllers and a worker.
+enum class Reachability {
+    reachable,      ///< what we send arrives, as far as is known
+    unresponsive,   ///< nothing shows that the machine is there
+    outbound_only,  ///< its heartbeats arrive; replies or commands do not reach it
+    replies_only,   ///< replies reach it and renew its lease; commands do not
+    inbound_only,   ///< it answers commands; its heartbeats do not arrive, so its lease will end
+};
 
-// A message's place in the order of all that the worker says.
+/// A message's place in the order of all that a worker says.
 struct MessagePosition {
     std::uint64_t incarnation = 0, sequence = 0;
     friend auto operator<=>(const MessagePosition&, const MessagePosition&) = default;
 };
 
-// How a report came.
+/// How a heartbeat came.
 struct HeartbeatArrival {
-    // On a connection over which the worker has received an answer 200 of ours.
+    /// On a connection over which the worker has received an accepting reply of ours: it can be
+    /// reached.
     bool follows_reply = false;
-    // When it reached a controller, which may be before it reached this one. Never later than that.
+    /// When it reached a controller, which may be before it reached this one; never later than
+    /// that.
     Millis arrived_at = 0;
 };
 
+/// The evidence about one worker. A value type without references, owned by Machine and by
+/// partition::PartitionResponder.
+///
+/// Guarantees: a message that proves the worker's state was made after every message that proved it
+/// before, and after take_control(); reached_at() is never later than the last moment at which a
+/// message of ours arrived.
 class WorkerChannel {
   public:
-    // Somebody else was in charge until now: only answers, and what echoes this token, prove
-    // anything. The worker is taken to have been reached at that time.
-    void take_control(std::uint64_t token, Millis reached);
-    // A later token is given out from now on; its echo shows that something has arrived since.
+    /// Another controller answered for the worker until now: from here on only command replies, and
+    /// heartbeats that echo at least this token, prove anything. The worker is taken to have been
+    /// reached at `reached_at`.
+    void take_control(std::uint64_t token, Millis reached_at);
+    /// A later token is issued from now on; its echo shows that something has arrived since.
     void raise_token(std::uint64_t token, Millis now);
 
-    // The one place that says what a message proves.
+    /// Notes a heartbeat and says what it proves; never EvidenceFreshness::new_incarnation.
     EvidenceFreshness on_heartbeat(const wire::Heartbeat& heartbeat,
                                    const HeartbeatArrival& arrival, Millis now);
-    // A report that came straight from the worker.
-    EvidenceFreshness on_heartbeat(const wire::Heartbeat& heartbeat, bool follows, Millis now) {
-        return on_heartbeat(heartbeat, HeartbeatArrival{follows, now}, now);
+    /// A heartbeat that came straight from the worker.
+    EvidenceFreshness on_heartbeat(const wire::Heartbeat& heartbeat, bool follows_reply,
+                                   Millis now) {
+        return on_heartbeat(heartbeat, HeartbeatArrival{follows_reply, now}, now);
     }
-    // The answer to what was sent then, when `asked` was the newest known.
+    /// Notes the reply to a command that was sent at `sent_at`, when `newest_known` was
+    /// newest_position(), and says what it proves; never a duplicate or unordered.
     EvidenceFreshness on_command_reply(const wire::Heartbeat& heartbeat,
-                                       const MessagePosition& asked, Millis sent, Millis now);
-    // A command was lost: the worker may have got it or not, and has not answered.
+                                       const MessagePosition& newest_known, Millis sent_at,
+                                       Millis now);
+    /// No reply came: the worker may have got the command or not.
     void on_command_lost(Millis now);
-    MessagePosition newest_position() const {
+    /// To be kept with each command that is sent.
+    [[nodiscard]] MessagePosition newest_position() const {
         return newest_proven_ > newest_heartbeat_ ? newest_proven_ : newest_heartbeat_;
     }
 
-    // A report was answered 200: if that arrives, the lease lasts a lease from the report on.
+    /// A heartbeat was accepted: if the reply arrives, the worker's lease lasts `lease` from then
+    /// on.
     void on_reply_sent(Millis lease, Millis now);
-    // Shall it be, when something hangs on its lease? What was not reached for a while after it was
-    // heard again, and what lost its lease although it was answered, is left to lose it, so that
-    // somebody can know that it has.
-    bool should_reply(Millis lease, Millis now) const;
+    /// Whether a heartbeat of a worker that has tasks may be accepted. A worker that was not
+    /// reached for half a lease after it was heard again, or that lost its lease although it was
+    /// replied to, is left to lose its lease, so that the controller knows when its tasks have
+    /// ended.
+    [[nodiscard]] bool should_reply(Millis lease, Millis now) const;
 
-    // It counts as heard for so long after the last proof that something reached it.
-    Reachability reachability(Millis patience, Millis now) const;
-    // It has answered commands for half a lease, and no report came meanwhile. A worker that seeks
-    // its way to another controller finds it sooner; what is started on one that does not ends with
-    // its lease, whatever it answers, for only an answer to a report renews that.
-    bool is_inbound_only(Millis lease, Millis now) const;
-    // Nothing shows that its lease was renewed after that.
-    Millis renewed_at() const { return reached_at_ < heartbeat_at_ ? reached_at_ : heartbeat_at_; }
+    /// Never inbound_only, which is_inbound_only() tells. `timeout`: the worker counts as reachable
+    /// for so long after the last proof that a message reached it.
+    [[nodiscard]] Reachability reachability(Millis timeout, Millis now) const;
+    /// It has answered commands for half a lease, and no heartbeat came meanwhile. A worker that
+    /// looks for another controller finds it sooner. What is started on one that does not ends with
+    /// its lease, as only replies to heartbeats renew that.
+    [[nodiscard]] bool is_inbound_only(Millis lease, Millis now) const;
+    /// Nothing shows that the worker's lease was renewed after that.
+    [[nodiscard]] Millis renewed_at() const {
+        return reached_at_ < heartbeat_at_ ? reached_at_ : heartbeat_at_;
+    }
 
-    bool has_proof() const { return newest_proven_.incarnation != 0; }
-    const MessagePosition& newest_proven() const {
-        return newest_proven_;
-    }  // of the messages that are proven
-    // For commands; a wrong one is answered with the right one.
-    std::uint64_t incarnation() const {
+    [[nodiscard]] bool has_proof() const { return newest_proven_.incarnation != 0; }
+    /// The newest message that proved the worker's state.
+    [[nodiscard]] const MessagePosition& newest_proven() const { return newest_proven_; }
+    /// To be named by commands; the reply to a wrong one carries the right one.
+    [[nodiscard]] std::uint64_t incarnation() const {
         return newest_proven_.incarnation == 0 ? 1 : newest_proven_.incarnation;
     }
-    std::uint64_t token() const { return token_; }  // the highest that it had seen by then
-    Millis reached_at() const { return reached_at_; }
-    Millis heartbeat_at() const { return heartbeat_at_; }  // its last report came
+    /// The highest token that the worker had seen when it made the newest proven message.
+    [[nodiscard]] std::uint64_t token() const { return token_; }
+    [[nodiscard]] Millis reached_at() const { return reached_at_; }
+    /// When its last heartbeat came that was no duplicate.
+    [[nodiscard]] Millis heartbeat_at() const { return heartbeat_at_; }
 
   private:
     void note_reached(Millis at);
+    void note_heard(Millis now);
+    [[nodiscard]] bool made_under_own_token(const wire::Heartbeat& heartbeat) const;
     void accept(const wire::Heartbeat& heartbeat, const MessagePosition& position, Millis now);
+    void accept_new_incarnation(const wire::Heartbeat& heartbeat, const MessagePosition& position);
 
     MessagePosition newest_proven_;
-    MessagePosition newest_heartbeat_;  // the highest of a report made under us
+    MessagePosition newest_heartbeat_;  ///< of those made while this controller was in control
     std::uint64_t token_ = 0;
-    std::uint64_t own_token_floor_ = 0;    // what echoes this or more was made under us
-    std::uint64_t last_issued_token_ = 0;  // the last token given out
-    Millis last_issued_at_ = 0, reached_at_ = 0, heartbeat_at_ = 0;
-    Millis commands_lost_since_ = 0;  // the first command lost since one was answered; 0: none
-    Millis unreached_since_ = 0;      // the first report since it was last reached; 0: none
-    Millis replies_only_since_ = 0;   // the first answer since its last report; 0: none
+    std::uint64_t own_token_floor_ = 0;  ///< heartbeats that echo at least it were made under us
+    std::uint64_t last_issued_token_ = 0;
+    Millis last_issued_at_ = 0;
+    Millis reached_at_ = 0;
+    Millis heartbeat_at_ = 0;
+    Millis commands_lost_since_ = 0;  ///< first command lost since one was answered; 0: none
+    Millis unreached_since_ = 0;      ///< first heartbeat since it was last reached; 0: none
+    Millis replies_only_since_ = 0;   ///< first command reply since its last heartbeat; 0: none
     std::uint64_t replied_incarnation_ = 0;
-    Millis lease_would_end_at_ =
-        0;  // had the last answer arrived, that session would last until then
-    bool lease_lapsed_ = false;
-    bool incarnation_uncertain_ = false;  // it may have begun anew: only its answer tells
+    /// If the last reply to a heartbeat arrived, that incarnation lasts until then.
+    Millis lease_would_end_at_ = 0;
+    bool lease_lapsed_ = false;           ///< although a reply should have renewed it
+    bool incarnation_uncertain_ = false;  ///< may have restarted: only a command reply tells
 };
 
 }  // namespace nickelramp::machines
