--- /dev/null
+++ b/src/control/attempt_lookup.h
@@ -0,0 +1,17 @@
+/// \file
+/// Matches the tasks that a heartbeat lists with the attempts in the cluster state. Used by
+/// CommandSender and HeartbeatReconciler.
+#pragma once
+#include "cluster/cluster_state.h"
+#include "wire/messages.h"
+
+namespace nickelramp::control {
+
+/// Whether `report` is about `attempt`: the same job, task and attempt number.
+[[nodiscard]] inline bool is_report_of(const wire::TaskReport& report, const jobs::Attempt& attempt,
+                                       const cluster::ClusterState& cluster) {
+    return attempt.number == report.attempt && attempt.task == report.task &&
+           cluster.job_of(attempt).spec.id == report.job;
+}
+
+}  // namespace nickelramp::control
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "control/attempt_lookup.h"
 #include "placement/placement_cost.h"
 
 namespace nickelramp::control {
@@ -18,13 +19,29 @@
 using wire::Command;
 
 namespace {
-constexpr Millis kRetryRefused = 700;
-constexpr Millis kRetryUnknown = 200;
-constexpr Millis kRetryDark = 8'000;
-constexpr std::size_t kDirectPart = 8;  // of the sockets, for messages under way at once
-constexpr std::size_t kBatch = 200;     // commands in one message
-constexpr double kReportsLately = 1.5;  // of the time between two
-constexpr double kMatesPart = 0.5;      // of gang_wait_s: a fetch that takes less is waited for
+constexpr Millis kRetryAfterRefusal = 700;
+constexpr Millis kRetryAfterUnknownOutcome = 200;
+constexpr Millis kRetryUnreachable = 8'000;
+/// One in so many sockets may be used for direct messages in flight at once, but always some.
+constexpr std::size_t kSocketsPerMessage = 8;
+constexpr std::size_t kMinMessagesInFlight = 16;
+constexpr std::size_t kMaxCommandsPerMessage = 200;
+/// A machine sends heartbeats "lately" if the last is at most so many heartbeat intervals old.
+constexpr double kRecentHeartbeatIntervals = 1.5;
+/// Part of gang_wait_s: an image fetch that takes less is waited for by members already started.
+constexpr double kShortFetchPart = 0.5;
+
+Command command_for(Command::Op op, const Job& job, const Attempt& attempt, double grace_s = 0) {
+    return {op, job.spec.id, attempt.task, attempt.number, grace_s};
+}
+
+// Whether the completion of the attempt's task is in a committed checkpoint or no longer needed.
+bool completion_recorded(const Job& job, const Attempt& attempt) {
+    if (job.state == jobs::JobState::finished) return true;
+    const auto chunk = job.chunks.find(attempt.task / jobs::kChunkTasks);
+    return chunk != job.chunks.end() &&
+           (chunk->second.done_recorded >> (attempt.task % jobs::kChunkTasks) & 1) != 0;
+}
 }  // namespace
 
 void CommandSender::queue(Machine& machine) {
@@ -34,96 +51,104 @@
 }
 
 void CommandSender::send_queued(Millis now) {
-    auto list = std::move(queued_);
-    queued_.clear();
-    for (Index i : list) {
-        Machine* machine = book_.machine_by_index(i);
+    const auto queued = std::exchange(queued_, {});
+    for (Index index : queued) {
+        Machine* machine = cluster_.machine_by_index(index);
         if (machine == nullptr) continue;
         machine->commands_queued = false;
         send(*machine, now);
     }
 }
 
-// Tasks that this book does not know of: left by an earlier term, or over already.
-void CommandSender::commands_for_unknown_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
-                                               std::vector<Command>& out) {
+void CommandSender::probe(Machine& machine, Millis now) {
+    machine.probe_requested_at = now;
+    machine.token_confirmation_pending = true;
+    machine.retry_command_at = std::min(machine.retry_command_at, now);
+    queue(machine);
+}
+
+void CommandSender::raise_token(Machine& machine, Millis now) {
+    constexpr std::uint64_t kMaxRaises = (std::uint64_t{1} << shards::kGrantShift) - 1;
+    // Thousands of messages were lost: the failure detector decides about such a machine.
+    if ((machine.token & kMaxRaises) == kMaxRaises) return;
+    cluster_.raise_token(machine, machine.token + 1, now);
+}
+
+// --- commands in heartbeat replies
+
+std::vector<Command> CommandSender::commands_for_reply(const Machine& machine,
+                                                       const wire::Heartbeat& heartbeat) {
+    std::vector<Command> commands = pending_commands(machine);
+    add_commands_for_unknown_tasks(machine, heartbeat, commands);
+    return commands;
+}
+
+// Stops and forgets, repeated until a heartbeat shows that they were obeyed.
+std::vector<Command> CommandSender::pending_commands(const Machine& machine) const {
+    std::vector<Command> commands;
+    for (const Attempt* attempt : machine.attempts) {
+        if (commands.size() >= kMaxCommandsPerMessage) break;
+        const Job& job = cluster_.job_of(*attempt);
+        if (attempt->live()) {
+            if (attempt->stop_wanted)
+                commands.push_back(
+                    command_for(Command::Op::stop, job, *attempt, attempt->stop_grace_s));
+            continue;
+        }
+        // Never forgotten while a start of the attempt may be in flight, or it would run again.
+        if (!cluster::ClusterState::absence_is_conclusive(*attempt, machine)) continue;
+        // A completion is forgotten only once it is on record.
+        if (attempt->cause == wire::ExitCause::done && !completion_recorded(job, *attempt))
+            continue;
+        commands.push_back(command_for(Command::Op::forget, job, *attempt));
+    }
+    return commands;
+}
+
+// Tasks that the cluster state does not have: left by an earlier term, or over already.
+void CommandSender::add_commands_for_unknown_tasks(const Machine& machine,
+                                                   const wire::Heartbeat& heartbeat,
+                                                   std::vector<Command>& commands) const {
     for (const wire::TaskReport& task : heartbeat.tasks) {
-        if (out.size() >= kBatch) return;
-        bool known = std::any_of(
-            machine.attempts.begin(), machine.attempts.end(), [&](const Attempt* attempt) {
-                return attempt->number == task.attempt && attempt->task == task.task &&
-                       book_.job_of(*attempt).spec.id == task.job;
-            });
+        if (commands.size() >= kMaxCommandsPerMessage) return;
+        const bool known = std::any_of(
+            machine.attempts.begin(), machine.attempts.end(),
+            [&](const Attempt* attempt) { return is_report_of(task, *attempt, cluster_); });
         if (known) continue;
-        // Its block was taken back and its records are being read: they will name the task.
-        if (const Job* job = book_.job(task.job); job != nullptr && job->delegated_shard != kNone)
+        // Its shard is being reclaimed and its records are being read: they will name the task.
+        if (const Job* job = cluster_.job(task.job);
+            job != nullptr && job->delegated_shard != kNone)
             continue;
-        bool exited = task.phase == wire::TaskPhase::exited;
+        const bool exited = task.phase == wire::TaskPhase::exited;
         if (!exited)
-            spdlog::info("stray task {}/{} try {} on {}", task.job, task.task, task.attempt,
-                         machine.name);
-        out.push_back({exited ? Command::Op::forget : Command::Op::stop, task.job, task.task,
-                       task.attempt, 0});
+            spdlog::info("stopping unknown task job={} task={} attempt={} machine={}", task.job,
+                         task.task, task.attempt, machine.name);
+        commands.push_back({exited ? Command::Op::forget : Command::Op::stop, task.job, task.task,
+                            task.attempt, 0});
     }
 }
 
-// Stops and forgets that hold until a report shows that they were obeyed.
-std::vector<Command> CommandSender::pending_commands(Machine& machine) {
-    std::vector<Command> out;
-    for (Attempt* attempt : machine.attempts) {
-        if (out.size() >= kBatch) break;
-        Job& job = book_.job_of(*attempt);
-        if (attempt->live() && attempt->stop_wanted) {
-            out.push_back({Command::Op::stop, job.spec.id, attempt->task, attempt->number,
-                           attempt->stop_grace_s});
-        } else if (!attempt->live() &&
-                   cluster::ClusterState::absence_is_conclusive(*attempt, machine)) {
-            // A completion is forgotten only once it is on record; and never while a start of the
-            // attempt may be under way: it would run again.
-            const jobs::Chunk& chunk = job.chunks[attempt->task / jobs::kChunkTasks];
-            bool recorded = job.state == jobs::JobState::finished ||
-                            (chunk.done_recorded >> (attempt->task % jobs::kChunkTasks) & 1) != 0;
-            if (attempt->cause == wire::ExitCause::done && !recorded) continue;
-            out.push_back({Command::Op::forget, job.spec.id, attempt->task, attempt->number, 0});
-        }
-    }
-    return out;
-}
+// --- direct messages
 
-void CommandSender::send(Machine& machine, Millis now) {
-    if (machine.command_in_flight || machine.address.empty()) return;
+bool CommandSender::may_send(const Machine& machine, Millis now) {
+    if (machine.command_in_flight || machine.address.empty()) return false;
     if (now < machine.retry_command_at) {
-        book_.wake_at(machine, machine.retry_command_at);
-        return;
+        cluster_.wake_at(machine, machine.retry_command_at);
+        return false;
     }
-    if (in_flight_count_ >= std::max<std::size_t>(16, term_.settings().max_sockets / kDirectPart)) {
-        // A new leader asks every machine at once; the rest follow as answers come.
-        book_.wake_at(machine, now + kRetryUnknown);
-        return;
-    }
-    if (machine.state == MachineState::leased_out || machine.token == 0) return;
-    std::vector<Command> commands;
-    for (Attempt* attempt : machine.attempts) {
-        if (commands.size() >= kBatch) break;
-        Job& job = book_.job_of(*attempt);
-        if (attempt->live() && attempt->stop_wanted && !attempt->stop_sent) {
-            commands.push_back({Command::Op::stop, job.spec.id, attempt->task, attempt->number,
-                                attempt->stop_grace_s});
-            attempt->stop_sent = true;
-        } else if (attempt->state == AttemptState::recorded && !term_.lease_confirmed(now)) {
-            book_.wake_at(machine, now + kRetryRefused);
-        } else if (attempt->state == AttemptState::recorded && machine.confirmed() &&
-                   job.state == jobs::JobState::open) {
-            if (job.is_gang() && !job.all_attempts_recorded()) continue;
-            if (job.is_gang() && waits_for_gang_checkpoint(job, machine)) {
-                book_.wake_at(machine, now + kRetryUnknown);
-                continue;
-            }
-            commands.push_back(
-                {Command::Op::start, job.spec.id, attempt->task, attempt->number, 0});
-            book_.attempt_start_sent(*attempt, machine, now);
-        }
+    const std::size_t max_in_flight =
+        std::max(kMinMessagesInFlight, term_.settings().max_sockets / kSocketsPerMessage);
+    if (in_flight_count_ >= max_in_flight) {
+        // A new leader probes every machine at once; the rest follow as replies come.
+        cluster_.wake_at(machine, now + kRetryAfterUnknownOutcome);
+        return false;
     }
+    return machine.state != MachineState::leased_out && machine.token != 0;
+}
+
+void CommandSender::send(Machine& machine, Millis now) {
+    if (!may_send(machine, now)) return;
+    const std::vector<Command> commands = take_due_commands(machine, now);
     if (commands.empty() && !machine.token_confirmation_pending) return;
     machine.token_confirmation_pending = false;
     machine.command_in_flight = true;
@@ -133,103 +158,138 @@
     term_.gateway().send_commands(machine.name, machine.address, machine.token,
                                   machine.channel.incarnation(), commands,
                                   term_.guarded([this, name = machine.name, token = machine.token](
-                                                    Millis t, const CommandReply& reply) {
-                                      on_command_reply(name, token, reply, t);
+                                                    Millis replied_at, const CommandReply& reply) {
+                                      on_command_reply(name, token, reply, replied_at);
                                   }));
 }
 
-// A member that has its image waits for the others, no longer than gang_wait_s, and ends the
-// attempt and their fetches with it. Where fetching takes about as long it is started when they
-// have theirs: a gang of eight with one such member once never began.
-bool CommandSender::waits_for_gang_checkpoint(const Job& job, const Machine& machine) const {
-    const double soon = term_.settings().gang_wait_s * kMatesPart;
-    auto fetch_s = [&](const Machine& on) {
-        return on.type == kNone ? 0 : placement::image_wait_s(job, on, book_.types()[on.type]);
+std::vector<Command> CommandSender::take_due_commands(Machine& machine, Millis now) {
+    std::vector<Command> commands;
+    for (Attempt* attempt : machine.attempts) {
+        if (commands.size() >= kMaxCommandsPerMessage) break;
+        if (auto command = take_due_command(*attempt, machine, now))
+            commands.push_back(std::move(*command));
+    }
+    return commands;
+}
+
+// The stop or start to send for the attempt now, noted in the cluster state as sent.
+std::optional<Command> CommandSender::take_due_command(Attempt& attempt, Machine& machine,
+                                                       Millis now) {
+    const Job& job = cluster_.job_of(attempt);
+    if (attempt.live() && attempt.stop_wanted && !attempt.stop_sent) {
+        attempt.stop_sent = true;
+        return command_for(Command::Op::stop, job, attempt, attempt.stop_grace_s);
+    }
+    if (attempt.state != AttemptState::recorded) return std::nullopt;
+    if (!term_.lease_confirmed(now)) {
+        cluster_.wake_at(machine, now + kRetryAfterRefusal);
+        return std::nullopt;
+    }
+    if (!machine.confirmed() || job.state != jobs::JobState::open) return std::nullopt;
+    if (job.is_gang() && !job.all_attempts_recorded()) return std::nullopt;
+    if (job.is_gang() && waits_for_gang_images(job, machine)) {
+        cluster_.wake_at(machine, now + kRetryAfterUnknownOutcome);
+        return std::nullopt;
+    }
+    cluster_.attempt_start_sent(attempt, machine, now);
+    return command_for(Command::Op::start, job, attempt);
+}
+
+// A gang member that is started waits for the others no longer than gang_wait_s and then ends the
+// attempt for all, including their image fetches. So a member that has its image is started only
+// when the others' fetches are nearly over; otherwise such a gang never begins.
+bool CommandSender::waits_for_gang_images(const Job& job, const Machine& machine) const {
+    const double short_fetch_s = term_.settings().gang_wait_s * kShortFetchPart;
+    const auto fetch_s = [&](const Machine& candidate) {
+        if (candidate.type == kNone) return 0.0;
+        return placement::image_wait_s(job, candidate, cluster_.types()[candidate.type]);
     };
     if (fetch_s(machine) > 0) return false;
-    return std::any_of(job.attempts.begin(), job.attempts.end(), [&](const auto& mate) {
-        const Machine* on = book_.machine_of(*mate);
-        return mate->live() && mate->state < AttemptState::waiting && on != nullptr &&
-               fetch_s(*on) > soon;
+    return std::any_of(job.attempts.begin(), job.attempts.end(), [&](const auto& member) {
+        const Machine* host = cluster_.machine_of(*member);
+        return member->live() && member->state < AttemptState::waiting && host != nullptr &&
+               fetch_s(*host) > short_fetch_s;
     });
 }
 
-void CommandSender::on_command_reply(const std::string& name, std::uint64_t token,
+// --- replies to direct messages
+
+void CommandSender::on_command_reply(const std::string& machine_name, std::uint64_t token,
                                      const CommandReply& reply, Millis now) {
     --in_flight_count_;
-    Machine* machine = book_.machine(name);
+    Machine* machine = cluster_.machine(machine_name);
     if (machine == nullptr) return;
     machine->command_in_flight = false;
-    if (reply.delivery == DeliveryStatus::delivered && reply.heartbeat &&
-        reply.heartbeat->machine == name) {
-        const wire::Heartbeat& heartbeat = *reply.heartbeat;
-        if (term_.superseded_by_token(heartbeat, now)) return;
-        lost_command_machines_.clear();
-        machine->command_failures = 0;
-        for (Attempt* attempt : machine->attempts) {
-            if (attempt->state == AttemptState::starting && attempt->token == token &&
-                attempt->start_reply_sequence == 0) {
-                attempt->start_reply_sequence =
-                    heartbeat.sequence;  // executed or refused: nothing of it is under way
-                if (!reply.executed) attempt->start_reply_sequence = heartbeat.sequence - 1;
-            }
-        }
-        listener_.on_command_reply(*machine, heartbeat, now);
-        if (!machine->confirmed()) {
-            machine->token_confirmation_pending =
-                true;  // its session was not the one we thought, or the token is new
-            // A token above any given out: nothing that is sent to it is executed.
-            if (heartbeat.token > machine->token) machine->retry_command_at = now + kRetryDark;
-            queue(*machine);
-        }
+    const bool answered = reply.delivery == DeliveryStatus::delivered && reply.heartbeat &&
+                          reply.heartbeat->machine == machine_name;
+    if (answered) {
+        if (term_.superseded_by_token(*reply.heartbeat, now)) return;
+        on_answered(*machine, token, *reply.heartbeat, reply.executed, now);
     } else {
-        ++machine->command_failures;
-        note_lost_command(*machine, now);
-        bool lost = reply.delivery == DeliveryStatus::unknown;
-        for (Attempt* attempt : machine->attempts) {
-            if (attempt->token != token || attempt->start_reply_sequence != 0) continue;
-            if (!lost) book_.attempt_start_not_delivered(*attempt, now);
-            attempt->stop_sent = false;
-        }
-        if (lost) {
-            // Commands may be under way. A higher token makes them harmless once it is confirmed.
-            raise_token(*machine, now);
-            machine->channel.on_command_lost(now);
-        }
-        // Heard from afar only, perhaps long gone: the next report asks again.
-        if (machine->up_at == 0 && machine->command_failures > 1)
-            machine->token_confirmation_pending = false;
-        // Hundreds that cannot be reached are not probed as one is.
-        const bool rarely = failure_detector_.is_lost(machine->zone) ||
-                            machine->reachability == machines::Reachability::replies_only;
-        machine->retry_command_at = now + (rarely ? kRetryDark
-                                           : lost ? kRetryUnknown
-                                                  : kRetryRefused);
+        on_not_answered(*machine, token, reply.delivery == DeliveryStatus::unknown, now);
     }
     queue(*machine);
     send_queued(now);
     actions_.schedule_if_needed(now);
 }
 
-// One that does not report either may have ended, or hang.
-void CommandSender::note_lost_command(const Machine& machine, Millis now) {
-    const Millis lately = seconds(kReportsLately * term_.settings().heartbeat_interval_s);
-    if (now - machine.channel.heartbeat_at() > lately) return;
-    if (lost_command_machines_.empty()) first_lost_at_ = now;
-    lost_command_machines_.insert(machine.index);
+void CommandSender::on_answered(Machine& machine, std::uint64_t token, const wire::Heartbeat& state,
+                                bool executed, Millis now) {
+    lost_command_machines_.clear();
+    machine.command_failures = 0;
+    for (Attempt* attempt : machine.attempts) {
+        const bool start_was_sent = attempt->state == AttemptState::starting &&
+                                    attempt->token == token && attempt->start_reply_sequence == 0;
+        // Executed or rejected: no part of the message is in flight any more.
+        if (start_was_sent)
+            attempt->start_reply_sequence = executed ? state.sequence : state.sequence - 1;
+    }
+    listener_.on_command_reply(machine, state, now);
+    if (machine.confirmed()) return;
+    // The worker has another incarnation than was expected, or the token is new.
+    machine.token_confirmation_pending = true;
+    // A token above any that was issued: nothing that is sent to the machine is executed.
+    if (state.token > machine.token) machine.retry_command_at = now + kRetryUnreachable;
+    queue(machine);
 }
 
-void CommandSender::raise_token(Machine& machine, Millis now) {
-    constexpr std::uint64_t kMost = (std::uint64_t{1} << shards::kGrantShift) - 1;
-    if ((machine.token & kMost) == kMost) return;  // thousands of lost messages: let silence decide
-    book_.raise_token(machine, machine.token + 1, now);
+void CommandSender::on_not_answered(Machine& machine, std::uint64_t token, bool outcome_unknown,
+                                    Millis now) {
+    ++machine.command_failures;
+    note_lost_command(machine, now);
+    for (Attempt* attempt : machine.attempts) {
+        if (attempt->token != token || attempt->start_reply_sequence != 0) continue;
+        if (!outcome_unknown) cluster_.attempt_start_not_delivered(*attempt, now);
+        attempt->stop_sent = false;
+    }
+    if (outcome_unknown) {
+        // The commands may still be in flight: the higher token, once confirmed, fences them.
+        raise_token(machine, now);
+        machine.channel.on_command_lost(now);
+    }
+    // Known from forwarded or old messages only and perhaps long gone: the next heartbeat asks
+    // again.
+    if (machine.up_at == 0 && machine.command_failures > 1)
+        machine.token_confirmation_pending = false;
+    machine.retry_command_at = now + retry_delay(machine, outcome_unknown);
 }
 
-std::vector<Command> CommandSender::commands_for_reply(Machine& machine,
-                                                       const wire::Heartbeat& heartbeat) {
-    std::vector<Command> out = pending_commands(machine);
-    commands_for_unknown_tasks(machine, heartbeat, out);
-    return out;
+// Many unreachable machines must not be probed as often as a single one.
+Millis CommandSender::retry_delay(const Machine& machine, bool outcome_unknown) const {
+    if (failure_detector_.is_lost(machine.zone) ||
+        machine.reachability == machines::Reachability::replies_only)
+        return kRetryUnreachable;
+    return outcome_unknown ? kRetryAfterUnknownOutcome : kRetryAfterRefusal;
+}
+
+// Only machines that send heartbeats count: one that does not may have ended, or hang.
+void CommandSender::note_lost_command(const Machine& machine, Millis now) {
+    const Millis recent =
+        seconds(kRecentHeartbeatIntervals * term_.settings().heartbeat_interval_s);
+    if (now - machine.channel.heartbeat_at() > recent) return;
+    if (lost_command_machines_.empty()) first_lost_at_ = now;
+    lost_command_machines_.insert(machine.index);
 }
 
 }  // namespace nickelramp::control
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -1,20 +1,28 @@
 #include "control/control_loop.h"
 
-#include <algorithm>
 #include <set>
 
+#include "control/overview_page.h"
+
 namespace nickelramp::control {
 
 using jobs::JobState;
 
 namespace {
-constexpr Millis kPassGap = 20;     // news gathers this long
-constexpr Millis kSupplyGap = 250;  // a boot takes far longer
+/// Changes are collected for so long between two scheduling passes...
+constexpr Millis kSchedulingInterval = 20;
+/// ... and a millisecond longer for so many pending jobs each.
+constexpr std::size_t kPendingJobsPerMillisecond = 4;
+/// A pass is due even without changes: time alone changes priorities.
+constexpr Millis kMaxSchedulingDelay = 1'000;
+/// A boot takes far longer.
+constexpr Millis kAutoscalingInterval = 250;
+constexpr double kMillisPerSecond = 1'000;
 }  // namespace
 
 ControlLoop::ControlLoop(const wire::Settings& settings, TermInfo info, ServiceGateway& gateway,
-                         Millis now, TermScope role)
-    : term_(settings, std::move(info), role, gateway),
+                         Millis now, TermScope scope)
+    : term_(settings, std::move(info), scope, gateway),
       cluster_(term_, *this, *this, now),
       forecast_(term_, cluster_),
       intent_log_(term_, *this),
@@ -33,10 +41,17 @@
       rebalancer_(term_, cluster_, placement_rules_),
       drain_planner_(term_, cluster_, forecast_, placement_rules_, failure_detector_),
       command_sender_(term_, cluster_, *this, failure_detector_, *this),
+      reachability_monitor_(settings),
+      heartbeat_reconciler_(term_, cluster_, *this, command_sender_, reachability_monitor_,
+                            shard_allocator_, shard_lease_writer_),
+      machine_checker_(term_, cluster_, autoscaler_, command_sender_, failure_detector_,
+                       heartbeat_delegator_, reachability_monitor_),
       started_at_(now),
       inherited_token_(shards::term_token(term_.info().number) - 1) {}
 
-// A machine that somebody has answered before this book: it is asked what is on it.
+// --- recovery
+
+// A machine that another term or holder answered for until now: it is probed for what is on it.
 void ControlLoop::inherit_machine(const shards::ShardMember& member, std::uint64_t token) {
     Machine* machine = cluster_.add_machine(member.name, started_at_);
     cluster_.set_machine_identity(*machine, member.address, member.type, member.zone, member.spot);
@@ -47,16 +62,17 @@
     cluster_.set_machine_state(*machine, MachineState::joining);
 }
 
-void ControlLoop::load_shard(std::uint32_t n, shards::Shard shard) {
-    shards::ShardLeaseTable& ledger = shard_lease_writer_.table();
-    ledger.load_shard(n, std::move(shard));
-    for (const shards::ShardMember& member : ledger.shard(n).members)
-        inherit_machine(member, ledger.shard(n).fencing_token);
+void ControlLoop::load_shard(std::uint32_t shard_number, shards::Shard shard) {
+    shards::ShardLeaseTable& table = shard_lease_writer_.table();
+    table.load_shard(shard_number, std::move(shard));
+    const shards::Shard& loaded = table.shard(shard_number);
+    for (const shards::ShardMember& member : loaded.members)
+        inherit_machine(member, loaded.fencing_token);
 }
 
 void ControlLoop::load_intents(const std::string& key, const wire::Json& value,
                                std::uint64_t version) {
-    auto parsed = autoscaling::parse_intent_key(key);
+    const auto parsed = autoscaling::parse_intent_key(key);
     if (!parsed || parsed->second >= term_.info().number) return;
     autoscaler_.inherit_intents(parsed->first, intent_log_.load(parsed->first, key, value, version),
                                 started_at_);
@@ -64,10 +80,12 @@
 
 void ControlLoop::start(Millis now) {
     started_ = true;
-    for (auto& [id, job] : cluster_.jobs()) lifecycle_.complete_load(*job, now);
+    for (const auto& [id, job] : cluster_.jobs()) lifecycle_.complete_load(*job, now);
     tick(now);
 }
 
+// --- events
+
 void ControlLoop::on_machine_gone(const Machine& machine) {
     if (machine.type != kNone)
         provisioning_.on_machine_freed({machine.type, machine.zone, machine.spot});
@@ -77,29 +95,40 @@
 
 void ControlLoop::on_first_run(const Job& job, const Attempt& attempt, Millis now) {
     if (metrics_ == nullptr || attempt.number != 1) return;
-    metrics_->record_start(job.spec.job_class, static_cast<double>(now - job.accepted_at) / 1000.0);
+    metrics_->record_start(job.spec.job_class,
+                           static_cast<double>(now - job.accepted_at) / kMillisPerSecond);
 }
 
-// Every job of the book was read before the list was asked for: what the list lacks is over.
+// Every job of the cluster state was read before the list was requested: what the list lacks has
+// been deleted.
 void ControlLoop::on_open_list(const kvstore::ListReply& all, std::int64_t wall_ms, Millis now) {
-    std::set<std::string> over;
-    for (const auto& [id, j] : cluster_.jobs()) over.insert(id);
+    std::set<std::string> deleted;
+    for (const auto& [id, job] : cluster_.jobs()) deleted.insert(id);
     for (const kvstore::Entry& entry : all.entries) {
-        over.erase(jobs::job_id_of_open_key(entry.key));
-        if (auto record = jobs::decode_open_record(entry.value))
+        deleted.erase(jobs::job_id_of_open_key(entry.key));
+        if (const auto record = jobs::decode_open_record(entry.value))
             on_open_record(*record, entry.version, wall_ms, now);
     }
-    for (const std::string& id : over) on_open_record_deleted(id, now);
+    for (const std::string& id : deleted) on_open_record_deleted(id, now);
+}
+
+machines::HeartbeatReply ControlLoop::on_heartbeat(const wire::Heartbeat& heartbeat,
+                                                   const machines::HeartbeatArrival& arrival,
+                                                   Millis now) {
+    if (term_.superseded_by_token(heartbeat, now)) return machines::HeartbeatReply::misdirected();
+    if (term_.is_over() || !started_) return machines::HeartbeatReply::unavailable();
+    return heartbeat_reconciler_.on_heartbeat(heartbeat, arrival, now);
 }
 
 void ControlLoop::schedule_if_needed(Millis now) {
     if (cluster_.scheduling_needed() && now >= next_scheduling_at_) run_scheduling_pass(now);
 }
 
-void ControlLoop::on_instances_listed(const std::vector<wire::CloudInstance>& hosts, Millis asked,
-                                      Millis now) {
-    autoscaler_.on_instances_listed(hosts, now);
-    if (!term_.is_shard_holder()) failure_detector_.check_missing_instances(hosts, asked, now);
+void ControlLoop::on_instances_listed(const std::vector<wire::CloudInstance>& instances,
+                                      Millis requested_at, Millis now) {
+    autoscaler_.on_instances_listed(instances, now);
+    if (!term_.is_shard_holder())
+        failure_detector_.check_missing_instances(instances, requested_at, now);
 }
 
 void ControlLoop::on_peer_status(const peers::Status& status, Millis now) {
@@ -115,7 +144,7 @@
                                             shard_allocator_.active_tokens(), view_fresh, now);
 }
 
-// --- the holder's side
+// --- a leased shard, the holder's side
 
 void ControlLoop::take_shard(const peers::ShardGrant& grant, Millis now) {
     term_.set_shard_condition(
@@ -145,25 +174,25 @@
     if (job == nullptr || job->state == JobState::cancelled) return;
     // Its version is needed to finish it: the record is read again.
     term_.gateway().read(jobs::open_key(id),
-                         term_.guarded([this](Millis t, const kvstore::GetReply& reply) {
-                             auto record = reply.status == kvstore::Status::ok
-                                               ? jobs::decode_open_record(reply.entry.value)
-                                               : std::nullopt;
+                         term_.guarded([this](Millis read_at, const kvstore::GetReply& reply) {
+                             const auto record = reply.status == kvstore::Status::ok
+                                                     ? jobs::decode_open_record(reply.entry.value)
+                                                     : std::nullopt;
                              if (record && cluster_.job(record->spec.id) != nullptr)
-                                 on_open_record(*record, reply.entry.version, 0, t);
-                             command_sender_.send_queued(t);
+                                 on_open_record(*record, reply.entry.version, 0, read_at);
+                             command_sender_.send_queued(read_at);
                          }));
-    // What runs is stopped at once.
+    // Its running tasks are stopped at once.
     lifecycle_.cancel(*job, now);
     command_sender_.send_queued(now);
 }
 
-// --- what time brings
+// --- ticks and scheduling passes
 
 void ControlLoop::tick(Millis now) {
     if (!started_ || term_.is_over()) return;
     failure_detector_.update(now);
-    check_machines(now);
+    machine_checker_.check_machines(now);
     if (!term_.is_shard_holder()) {
         rebalancer_.consolidate(now);
         shard_allocator_.allocate_shards(now);
@@ -175,48 +204,59 @@
     lifecycle_.delete_leftover_records(now);
     lifecycle_.run_due_jobs(now);
     command_sender_.send_queued(now);
-    if (cluster_.scheduling_needed() || now >= next_scheduling_at_ + 1000) run_scheduling_pass(now);
+    if (cluster_.scheduling_needed() || now >= next_scheduling_at_ + kMaxSchedulingDelay)
+        run_scheduling_pass(now);
 }
 
-// One look at all jobs that want places, in their order.
+// Looks once, in order, at all jobs that have tasks to place.
 void ControlLoop::run_scheduling_pass(Millis now) {
     if (!started_ || term_.is_over()) return;
     cluster_.clear_scheduling_request();
     lifecycle_.run_due_jobs(now);
     // A long queue is looked through less often.
-    next_scheduling_at_ = now + kPassGap + static_cast<Millis>(cluster_.pending_jobs().size() / 4);
+    next_scheduling_at_ =
+        now + kSchedulingInterval +
+        static_cast<Millis>(cluster_.pending_jobs().size() / kPendingJobsPerMillisecond);
     std::vector<Job*> unplaced;
     forecast_.clear_whole_machines_wanted();
     cluster_.expire_quota_reservations(now);
     const std::vector<Job*> order = job_queue_.ordered_jobs(now);
     job_queue_.forecast(order, now);
     for (Job* job : order) {
-        if (term_.lease_confirmed(now) && !shard_allocator_.delegate_job(*job, now)) {
-            scheduler_.place_job(*job, now);
-            if (now >= checkpoint_writer_.next_write_at(*job))
-                checkpoint_writer_.write(*job, now);
-            else
-                lifecycle_.schedule_next_wake_up(*job, now);
-        }
-        if (job->placeable_tasks() > 0) {
-            if (job->unplaced_since == 0) job->unplaced_since = now;
-            unplaced.push_back(job);
-            forecast_.add_whole_machines_wanted(*job);
-        }
-    }
-    if (term_.lease_confirmed(now) && !term_.is_shard_holder()) {
-        shard_allocator_.set_jobs_starving(!unplaced.empty(), now);
-        shard_allocator_.check_leases(now);
-        if (now >= next_autoscaling_at_) {
-            next_autoscaling_at_ = now + kSupplyGap;
-            autoscaler_.scale_out(unplaced, job_queue_.shortage(), now);
-        } else if (!unplaced.empty()) {
-            cluster_.request_scheduling();
-        }
+        place_or_delegate(*job, now);
+        if (job->placeable_tasks() == 0) continue;
+        if (job->unplaced_since == 0) job->unplaced_since = now;
+        unplaced.push_back(job);
+        forecast_.add_whole_machines_wanted(*job);
     }
+    scale_out_if_due(unplaced, now);
     command_sender_.send_queued(now);
 }
 
+// Gives the job to a shard holder as a whole, or places its tasks and records where they are.
+void ControlLoop::place_or_delegate(Job& job, Millis now) {
+    if (!term_.lease_confirmed(now) || shard_allocator_.delegate_job(job, now)) return;
+    scheduler_.place_job(job, now);
+    if (now >= checkpoint_writer_.next_write_at(job))
+        checkpoint_writer_.write(job, now);
+    else
+        lifecycle_.schedule_next_wake_up(job, now);
+}
+
+void ControlLoop::scale_out_if_due(const std::vector<Job*>& unplaced, Millis now) {
+    if (!term_.lease_confirmed(now) || term_.is_shard_holder()) return;
+    shard_allocator_.set_jobs_starving(!unplaced.empty(), now);
+    shard_allocator_.check_leases(now);
+    if (now >= next_autoscaling_at_) {
+        next_autoscaling_at_ = now + kAutoscalingInterval;
+        autoscaler_.scale_out(unplaced, job_queue_.shortage(), now);
+    } else if (!unplaced.empty()) {
+        cluster_.request_scheduling();
+    }
+}
+
+// --- what users and operators see
+
 ControlLoop::Progress ControlLoop::progress(const std::string& id) const {
     const Job* job = cluster_.job(id);
     if (job == nullptr) return {};
@@ -225,17 +265,22 @@
 }
 
 ControlLoop::Summary ControlLoop::summary() const {
-    Summary s;
-    for (const auto& [id, j] : cluster_.jobs()) {
-        if (j->state == JobState::open) {
-            ++s.open_jobs;
-            s.waiting_tasks += j->unplaced_tasks();
+    Summary summary;
+    for (const auto& [id, job] : cluster_.jobs()) {
+        if (job->state == JobState::open) {
+            ++summary.open_jobs;
+            summary.waiting_tasks += job->unplaced_tasks();
         }
-        s.live_attempts += j->live_attempts;
+        summary.live_attempts += job->live_attempts;
     }
     for (const Machine* machine : cluster_.machines())
-        ++s.machines[static_cast<std::size_t>(machine->state.get())];
-    return s;
+        ++summary.machines[static_cast<std::size_t>(machine->state.get())];
+    return summary;
+}
+
+wire::Json ControlLoop::overview(Millis now) const {
+    return OverviewPage(term_, cluster_, forecast_, placement_rules_, shard_allocator_, intent_log_)
+        .render(now);
 }
 
 }  // namespace nickelramp::control
--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -1,8 +1,8 @@
-// One term's decisions put together: the book, the parts around it, and what a report, a tick or an
-// answer sets off, in which order. It owns no sockets and reads no clock; time and messages are
-// arguments, effects go through the outbox. docs/design.md has the map of the parts.
+/// \file
+/// One term's decisions put together: the cluster state, the parts around it, and what a heartbeat,
+/// a tick or a reply sets off, in which order. docs/design.md has the map of the parts.
 #pragma once
-#include <map>
+#include <array>
 #include <string>
 #include <utility>
 #include <vector>
@@ -15,6 +15,9 @@
 #include "cloud/provisioning_tracker.h"
 #include "cluster/cluster_state.h"
 #include "control/command_sender.h"
+#include "control/heartbeat_reconciler.h"
+#include "control/machine_checker.h"
+#include "control/reachability_monitor.h"
 #include "drain/planner.h"
 #include "failure/failure_detector.h"
 #include "forecast/demand_forecast.h"
@@ -39,6 +42,19 @@
 using cluster::TermInfo;
 using cluster::TermScope;
 
+/// The scheduler of one term (TermScope::whole_cluster, the leader's) or of one leased shard
+/// (TermScope::single_shard, made by ShardHolder).
+///
+/// Owns all parts of the term and passes on what they tell each other; decisions are made in the
+/// parts. Owns no sockets and reads no clock: messages and times (milliseconds of the steady clock)
+/// are arguments, effects go out through ServiceGateway. Everything runs on the controller's one
+/// loop thread. Once the term is over (another controller's token or record was seen) it changes
+/// nothing any more; ServiceGateway::on_deposed tells the owner, which may destroy it only when
+/// none of its callbacks is running. Called by Controller, HeartbeatHandler and ShardHolder;
+/// `settings` and `gateway` must outlive it.
+///
+/// Order of use: set_machine_types, expect_lost_zone, load_shard, load_intents, load_job and
+/// load_checkpoint; then start; then the rest.
 class ControlLoop : private cluster::ClusterObserver,
                     private cluster::ControlActions,
                     private sharding::ShardLeaseWriter::Listener,
@@ -46,65 +62,88 @@
                     private autoscaling::IntentLog::Listener {
   public:
     ControlLoop(const wire::Settings& settings, TermInfo info, ServiceGateway& gateway, Millis now,
-                TermScope role = TermScope::whole_cluster);
+                TermScope scope = TermScope::whole_cluster);
+
+    // --- recovery of the leader's state, before start()
 
-    // Recovery, before anything else.
     void set_machine_types(const std::vector<wire::MachineType>& types) {
         cluster_.set_machine_types(types);
     }
-    void load_shard(std::uint32_t n, shards::Shard shard);
-    // Before the blocks: the leader before this one had not heard the zone's machines since then.
+    /// A shard record of the key-value store. Its machines are granted anew and probed.
+    void load_shard(std::uint32_t shard_number, shards::Shard shard);
+    /// Before the shards: the previous leader had not heard the zone's machines since then.
     void expect_lost_zone(const std::string& zone, Millis since) {
         failure_detector_.expect_lost_zone(cluster_.intern_zone(zone), since);
     }
+    /// `wall_ms`: now by the wall clock, as the record has the job's acceptance.
     void load_job(const jobs::OpenRecord& record, std::uint64_t version, std::int64_t wall_ms,
                   Millis now) {
         cluster_.add_job(record, version, wall_ms, now);
     }
+    /// A checkpoint of a loaded job: 64 tasks, numbered by `chunk`.
     void load_checkpoint(const std::string& id, std::uint32_t chunk, const jobs::RunRecord& record,
                          std::uint64_t version, Millis now) {
         lifecycle_.load_checkpoint(id, chunk, record, version, inherited_token_, now);
     }
-    // After blocks and types: what earlier terms had on record as asked of the cloud.
+    /// After shards and types: the provisioning intents of earlier terms. Records of this or a
+    /// later term, and unreadable keys, are ignored.
     void load_intents(const std::string& key, const wire::Json& value, std::uint64_t version);
+    /// Everything is loaded: decisions begin with a first tick.
     void start(Millis now);
 
-    // News from the state service.
+    // --- changes in the key-value store
+
+    /// An open record was written: a job was accepted or its cancellation requested.
     void on_open_record(const jobs::OpenRecord& record, std::uint64_t version, std::int64_t wall_ms,
                         Millis now) {
         lifecycle_.on_open_record(record, version, wall_ms, now);
     }
-    // All of them, where the watch has missed changes.
+    /// All open records, read after the watch has missed changes.
     void on_open_list(const kvstore::ListReply& all, std::int64_t wall_ms, Millis now);
     void on_open_record_deleted(const std::string& id, Millis now) {
         shard_allocator_.on_open_record_deleted(id);
         lifecycle_.on_open_record_deleted(id, now);
     }
-    // What the controllers can take reports from; asked before each tick.
-    void set_worker_capacity(const machines::WorkerCapacity& enrolment) {
-        worker_capacity_ = enrolment;
-        autoscaler_.set_max_machines(enrolment.max_machines);
+
+    // --- what this controller may do
+
+    /// How many workers the controllers can hear; set before each tick.
+    void set_worker_capacity(const machines::WorkerCapacity& capacity) {
+        reachability_monitor_.set_worker_capacity(capacity);
+        autoscaler_.set_max_machines(capacity.max_machines);
     }
-    // Beyond that nothing new is started.
+    /// From then on nothing new is started, unless the lease is confirmed for longer.
     void confirm_lease_until(Millis until) { term_.confirm_lease_until(until); }
     void set_role_fence(lease::Role role, std::uint64_t fence) {
         term_.set_role_fence(role, fence);
     }
 
-    machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
-                                          const machines::HeartbeatArrival& arrival, Millis now);
-    // Of a report that came straight from its worker.
-    machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat, bool follows,
-                                          Millis now) {
-        return on_heartbeat(heartbeat, machines::HeartbeatArrival{follows, now}, now);
+    void set_options(const admin::Options& options) { term_.set_options(options); }
+    /// Null: none are recorded. Must outlive the control loop.
+    void set_metrics(admin::Metrics* metrics) { metrics_ = metrics; }
+
+    // --- machines and time
+
+    /// The reply to a heartbeat: misdirected if another term or controller answers for the machine,
+    /// unavailable before start() and whenever nobody can say.
+    [[nodiscard]] machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
+                                                        const machines::HeartbeatArrival& arrival,
+                                                        Millis now);
+    /// A heartbeat that came straight from its worker; `follows_reply` as in HeartbeatArrival.
+    [[nodiscard]] machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
+                                                        bool follows_reply, Millis now) {
+        return on_heartbeat(heartbeat, machines::HeartbeatArrival{follows_reply, now}, now);
     }
-    // A whole list, asked for at that time.
-    void on_instances_listed(const std::vector<wire::CloudInstance>& hosts, Millis asked,
+    /// The cloud's complete list of instances, requested at `requested_at`.
+    void on_instances_listed(const std::vector<wire::CloudInstance>& instances, Millis requested_at,
                              Millis now);
+    /// Does what is due; called several times a second.
     void tick(Millis now);
 
-    // Sharing, the leader's side.
+    // --- shards and delegation, the leader's side
+
     void on_peer_status(const peers::Status& status, Millis now);
+    /// The grants to send now, by peer. `view_fresh`: every cancellation up to then is known.
     std::vector<std::pair<std::string, peers::ShardGrant>> shard_renewals(Millis view_fresh,
                                                                           Millis now) {
         return shard_allocator_.renewals(view_fresh, now);
@@ -112,61 +151,71 @@
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now) {
         shard_allocator_.on_shard_status(shard_status, now);
     }
-    // The leaves to send now, to those that may answer machines when the leader is out of reach.
+    /// The heartbeat delegations to send now, by peer; none while the lease is not confirmed.
     std::vector<std::pair<std::string, peers::HeartbeatDelegation>> heartbeat_delegations(
         Millis view_fresh, Millis now);
-    Millis max_response_window() const { return heartbeat_delegator_.response_window(); }
-    std::vector<peers::Status::LostZone> lost_zones(Millis now) const {
+    /// How long this leader and its partition responders may answer heartbeats without learning of
+    /// cancellations.
+    [[nodiscard]] Millis max_response_window() const {
+        return heartbeat_delegator_.response_window();
+    }
+    /// For the next leader, which hands it to expect_lost_zone.
+    [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const {
         return failure_detector_.lost_zones(now);
     }
-    void set_options(const admin::Options& options) { term_.set_options(options); }
 
-    // Sharing, the holder's side.
+    // --- a leased shard, the holder's side
+
+    /// Takes over the shard's machines and starts.
     void take_shard(const peers::ShardGrant& grant, Millis now);
+    /// Adds a delegated job with its checkpoints; ignored if it is there already.
     void add_delegated_job(const jobs::OpenRecord& record, std::uint64_t version,
                            const kvstore::ListReply& runs, std::int64_t wall_ms, Millis now);
+    /// Stops the job's tasks at once and reads its record again, which is needed to finish it.
     void cancel_delegated_job(const std::string& id, Millis now);
-    const std::vector<std::string>& unhealthy_machines() const {
+    /// Machines of the shard that the leader should release.
+    [[nodiscard]] const std::vector<std::string>& unhealthy_machines() const {
         return cluster_.unhealthy_machines();
     }
 
-    // What users and operators see.
+    // --- what users and operators see
+
     struct Progress {
-        bool known = false;
-        std::uint64_t done = 0, running = 0;
+        bool known = false;                   ///< false: no open job has the id
+        std::uint64_t done = 0, running = 0;  ///< tasks
     };
-    Progress progress(const std::string& id) const;
+    [[nodiscard]] Progress progress(const std::string& id) const;
     struct Summary {
         std::size_t open_jobs = 0, waiting_tasks = 0, live_attempts = 0;
-        std::size_t machines[7] = {};
+        std::array<std::size_t, machines::kMachineStateCount> machines{};  ///< by MachineState
     };
-    Summary summary() const;
-    // Most machines of every zone have fallen silent: rather this node's trouble than theirs.
-    bool all_zones_unresponsive() const { return failure_detector_.all_mostly_unresponsive(); }
-    // Reports arrive through other controllers, and no command of this one's reaches a machine:
-    // somebody else had better lead.
-    bool commands_lost(Millis now) const;
-    void set_metrics(admin::Metrics* metrics) { metrics_ = metrics; }
-    // The jobs that wait, with the reason, and those past or about to pass an objective.
-    wire::Json overview(Millis now) const;
+    [[nodiscard]] Summary summary() const;
+    /// Most machines of every zone are unresponsive: rather this controller's fault than theirs.
+    [[nodiscard]] bool all_zones_unresponsive() const {
+        return failure_detector_.all_mostly_unresponsive();
+    }
+    /// Heartbeats arrive through other controllers while no command of this one reaches a machine:
+    /// another controller should lead.
+    [[nodiscard]] bool commands_lost(Millis now) const {
+        return machine_checker_.commands_lost(now);
+    }
+    /// The cluster state for the administration page (OverviewPage).
+    [[nodiscard]] wire::Json overview(Millis now) const;
 
     drain::Planner& drain_planner() { return drain_planner_; }
-
-    // For tests and administration.
-    const machines::MachineRegistry& registry() const { return cluster_.registry(); }
-    const cluster::ClusterState::Jobs& open_jobs() const { return cluster_.jobs(); }
+    [[nodiscard]] const machines::MachineRegistry& registry() const { return cluster_.registry(); }
+    [[nodiscard]] const cluster::ClusterState::Jobs& open_jobs() const { return cluster_.jobs(); }
 
   private:
     using Job = jobs::Job;
     using Attempt = jobs::Attempt;
-    using AttemptState = jobs::AttemptState;
     using Machine = machines::Machine;
     using MachineState = machines::MachineState;
 
-    // What the parts say upwards.
+    // cluster::ClusterObserver
     void on_job_added(Job& job) override { forecast_.on_job_added(job); }
-    void on_machine_counts_changed(Index zone, int up, int silent) override {
-        failure_detector_.adjust_counts(zone, up, silent);
+    void on_machine_counts_changed(Index zone, int up, int unresponsive) override {
+        failure_detector_.adjust_counts(zone, up, unresponsive);
     }
     void on_machine_changed(Machine& machine) override { forecast_.on_machine_changed(machine); }
     void on_machine_gone(const Machine& machine) override;
@@ -177,46 +226,36 @@
     void on_task_completed(const Job& job, const Attempt& attempt, Millis now) override {
         forecast_.on_task_completed(job, attempt, now);
     }
+
+    // cluster::ControlActions
     void queue_commands(Machine& machine) override { command_sender_.queue(machine); }
     void advance_job(Job& job, Millis now) override { lifecycle_.advance_job(job, now); }
     void send_queued_commands(Millis now) override { command_sender_.send_queued(now); }
     void schedule_if_needed(Millis now) override;
-    void on_machine_granted(Machine& machine, Millis now) override { join_machine(machine, now); }
-    void on_shard_recorded(std::uint32_t block, Millis now) override {
-        shard_allocator_.on_shard_recorded(block, now);
+
+    // sharding::ShardLeaseWriter::Listener
+    void on_machine_granted(Machine& machine, Millis now) override {
+        heartbeat_reconciler_.join_machine(machine, now);
     }
+    void on_shard_recorded(std::uint32_t shard, Millis now) override {
+        shard_allocator_.on_shard_recorded(shard, now);
+    }
+
+    // autoscaling::IntentLog::Listener
     void on_intents_recorded(lease::Role role, const std::vector<std::string>& names,
                              Millis now) override {
         autoscaler_.on_intents_recorded(role, names, now);
     }
-    void on_command_reply(Machine& machine, const wire::Heartbeat& heartbeat, Millis now) override;
-
-    // reports.cpp
-    // `session`: of what was known before.
-    void apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, std::uint64_t session,
-                         bool anew, Millis now);
-    void on_machine_reached(Machine& machine, Millis now);
-    machines::Reachability reachability_of(const Machine& machine, Millis now) const;
-    void probe(Machine& machine, Millis now);
-    machines::HeartbeatReply handle_unproven_heartbeat(Machine& machine,
-                                                       machines::EvidenceFreshness freshness,
-                                                       Millis now);
-    Millis unresponsive_timeout() const;
-    void join_machine(Machine& machine, Millis now);
-
-    // watch.cpp
-    void check_machines(Millis now);
-    void check_machine(Machine& machine, Millis now);
-    void probe_unverified_machines(Millis now);
-    void check_boot(Machine& machine, Millis now);
-    void check_idle(Machine& machine, Millis now);
-
-    // dispatcher.cpp
+
+    // CommandSender::Listener
+    void on_command_reply(Machine& machine, const wire::Heartbeat& heartbeat, Millis now) override {
+        heartbeat_reconciler_.on_command_reply(machine, heartbeat, now);
+    }
+
     void inherit_machine(const shards::ShardMember& member, std::uint64_t token);
     void run_scheduling_pass(Millis now);
-
-    // overview.cpp
-    std::string waiting_reason(const Job& job, Millis now) const;
+    void place_or_delegate(Job& job, Millis now);
+    void scale_out_if_due(const std::vector<Job*>& unplaced, Millis now);
 
     cluster::TermContext term_;
     cluster::ClusterState cluster_;
@@ -236,14 +275,15 @@
     autoscaling::Rebalancer rebalancer_;
     drain::Planner drain_planner_;
     CommandSender command_sender_;
+    ReachabilityMonitor reachability_monitor_;
+    HeartbeatReconciler heartbeat_reconciler_;
+    MachineChecker machine_checker_;
 
     admin::Metrics* metrics_ = nullptr;
-    machines::WorkerCapacity worker_capacity_;
     bool started_ = false;
-    Millis started_at_ = 0;
-    std::size_t next_probe_index_ = 0;
-    std::uint64_t inherited_token_ = 0;  // what was started before used at most this one
-    Millis next_scheduling_at_ = 0, next_autoscaling_at_ = 0, next_probe_at_ = 0;
+    Millis started_at_ = 0;              ///< when the term's state began to be read
+    std::uint64_t inherited_token_ = 0;  ///< what earlier terms or holders started used at most it
+    Millis next_scheduling_at_ = 0, next_autoscaling_at_ = 0;
 };
 
 }  // namespace nickelramp::control
--- /dev/null
+++ b/src/control/heartbeat_reconciler.cpp
@@ -0,0 +1,256 @@
+#include "control/heartbeat_reconciler.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "control/attempt_lookup.h"
+
+namespace nickelramp::control {
+
+using jobs::Attempt;
+using jobs::AttemptState;
+using machines::EvidenceFreshness;
+using machines::HeartbeatReply;
+using machines::Machine;
+using machines::MachineState;
+using machines::Reachability;
+
+namespace {
+/// Machines known from messages of unknown age only; more are not taken in.
+constexpr std::size_t kMaxUnverifiedMachines = 256;
+/// A duplicate from a machine that was reached since so long ago is no reason to probe it.
+constexpr Millis kDuplicateGrace = 1'000;
+/// Added to the time by which the worker's lease has ended by its own clock.
+constexpr Millis kLeaseSlack = 500;
+constexpr double kMillisPerSecond = 1'000;
+
+bool is_on(const Machine& machine, const Attempt* attempt) {
+    return std::find(machine.attempts.begin(), machine.attempts.end(), attempt) !=
+           machine.attempts.end();
+}
+}  // namespace
+
+// --- heartbeats
+
+HeartbeatReply HeartbeatReconciler::on_heartbeat(const wire::Heartbeat& heartbeat,
+                                                 const machines::HeartbeatArrival& arrival,
+                                                 Millis now) {
+    if (auto rejection = rejection_of(heartbeat)) return *rejection;
+    Machine& machine = find_or_add_machine(heartbeat, now);
+    const Millis reached_before = machine.channel.reached_at();
+    const std::uint64_t previous_incarnation = machine.channel.newest_proven().incarnation;
+    const EvidenceFreshness freshness = machine.channel.on_heartbeat(heartbeat, arrival, now);
+    const bool reached = machine.channel.reached_at() > reached_before;
+    if (reached) on_machine_reached(machine, now);
+    if (machines::proves_state(freshness))
+        apply_proven_state(machine, heartbeat, previous_incarnation, freshness, now);
+    if (freshness == EvidenceFreshness::unordered) join_machine(machine, now);
+    probe_if_doubtful(machine, freshness, reached, now);
+    command_sender_.send_queued(now);
+    if (machine.token < heartbeat.token) return reject_unissued_token(machine, freshness, now);
+    return reply_to(machine, heartbeat, freshness, now);
+}
+
+// Why this term does not answer for the machine at all, if so. Changes nothing.
+std::optional<HeartbeatReply> HeartbeatReconciler::rejection_of(
+    const wire::Heartbeat& heartbeat) const {
+    if (cluster_.is_tombstoned(heartbeat.machine)) return HeartbeatReply::unavailable();
+    const Machine* machine = cluster_.machine(heartbeat.machine);
+    if (machine == nullptr) {
+        if (term_.is_shard_holder()) return HeartbeatReply::misdirected();
+        if (cluster_.unverified_machine_count() >= kMaxUnverifiedMachines)
+            return HeartbeatReply::unavailable();
+        return std::nullopt;
+    }
+    if (machine->state != MachineState::leased_out) return std::nullopt;
+    std::string holder = shard_allocator_.holder_of(machine->index);
+    if (holder.empty()) return HeartbeatReply::unavailable();  // between two holders
+    return HeartbeatReply::misdirected(std::move(holder));
+}
+
+Machine& HeartbeatReconciler::find_or_add_machine(const wire::Heartbeat& heartbeat, Millis now) {
+    Machine* machine = cluster_.machine(heartbeat.machine);
+    if (machine == nullptr) {
+        // It may be long gone: nobody counts on it before it has answered a probe.
+        machine = cluster_.add_machine(heartbeat.machine, now);
+        cluster_.set_unverified(*machine, true);
+        set_identity(*machine, heartbeat);
+    }
+    // Without a grant it may hold an earlier term's token, so it gets one of this term's.
+    if (machine->token == 0)
+        cluster_.take_control(*machine, shards::term_token(term_.info().number), now);
+    if (machine->address.empty()) set_identity(*machine, heartbeat);
+    return *machine;
+}
+
+void HeartbeatReconciler::set_identity(Machine& machine, const wire::Heartbeat& heartbeat) {
+    cluster_.set_machine_identity(machine, heartbeat.address, heartbeat.type, heartbeat.zone,
+                                  heartbeat.spot);
+}
+
+// A message of ours has arrived at the machine.
+void HeartbeatReconciler::on_machine_reached(Machine& machine, Millis now) {
+    cluster_.set_reachability(machine, reachability_monitor_.reachability(machine, now));
+    cluster_.set_suspected(machine, false);
+}
+
+// A message that proves too little is a reason to ask the machine.
+void HeartbeatReconciler::probe_if_doubtful(Machine& machine, EvidenceFreshness freshness,
+                                            bool reached, Millis now) {
+    if (freshness == EvidenceFreshness::duplicate) {
+        // Duplicates come in floods: one probe per heartbeat interval.
+        const Millis heartbeat_interval = seconds(term_.settings().heartbeat_interval_s);
+        if (now - machine.channel.reached_at() > kDuplicateGrace &&
+            now - machine.probe_requested_at > heartbeat_interval)
+            command_sender_.probe(machine, now);
+        return;
+    }
+    const bool doubtful = machine.reachability != Reachability::reachable || machine.suspected;
+    if (freshness == EvidenceFreshness::unordered || (doubtful && !reached))
+        command_sender_.probe(machine, now);
+}
+
+// The machine shows a token above any that this term has issued for it, so that it would reject
+// every command.
+HeartbeatReply HeartbeatReconciler::reject_unissued_token(Machine& machine,
+                                                          EvidenceFreshness freshness, Millis now) {
+    if (term_.is_shard_holder()) return HeartbeatReply::misdirected();
+    if (machines::proves_state(freshness))
+        cluster_.release_machine(machine, "shows a token that was never issued");
+    command_sender_.probe(machine, now);
+    return HeartbeatReply::unavailable();
+}
+
+HeartbeatReply HeartbeatReconciler::reply_to(Machine& machine, const wire::Heartbeat& heartbeat,
+                                             EvidenceFreshness freshness, Millis now) {
+    const Millis lease = seconds(term_.settings().lease_s);
+    // The worker drops the reply to a duplicate. A reply that does not reach the worker would
+    // lengthen its lease in the cluster state alone, which does no harm only on an empty machine.
+    if (freshness == EvidenceFreshness::duplicate ||
+        (!machine.attempts.empty() && !machine.channel.should_reply(lease, now)))
+        return HeartbeatReply::unavailable();
+    machine.lease_until =
+        std::max(machine.lease_until, now + with_clock_drift(lease) + kLeaseSlack);
+    machine.channel.on_reply_sent(lease, now);
+    HeartbeatReply reply;
+    reply.token = machine.token;
+    if (machines::proves_state(freshness))
+        reply.commands = command_sender_.commands_for_reply(machine, heartbeat);
+    command_sender_.send_queued(now);
+    actions_.schedule_if_needed(now);
+    return reply;
+}
+
+// --- proven states
+
+void HeartbeatReconciler::on_command_reply(Machine& machine, const wire::Heartbeat& heartbeat,
+                                           Millis now) {
+    const std::uint64_t previous_incarnation = machine.channel.newest_proven().incarnation;
+    const EvidenceFreshness freshness = machine.channel.on_command_reply(
+        heartbeat, machine.command_sent_position, machine.command_sent_at, now);
+    on_machine_reached(machine, now);
+    if (machines::proves_state(freshness))
+        apply_proven_state(machine, heartbeat, previous_incarnation, freshness, now);
+}
+
+// What the message says was true after everything that was known before.
+void HeartbeatReconciler::apply_proven_state(Machine& machine, const wire::Heartbeat& heartbeat,
+                                             std::uint64_t previous_incarnation,
+                                             EvidenceFreshness freshness, Millis now) {
+    if (previous_incarnation != 0 && heartbeat.incarnation > previous_incarnation)
+        spdlog::info("machine {}: lease lost and all tasks with it", machine.name);
+    set_identity(machine, heartbeat);
+    cluster_.set_unverified(machine, false);
+    cluster_.machine_up(machine, now);
+    const bool new_incarnation = freshness == EvidenceFreshness::new_incarnation;
+    if (new_incarnation) {
+        // No earlier task is left. What is still in flight to the machine could be executed until
+        // it has seen a higher token.
+        spdlog::info("machine {}: worker restarted, attempts={}", machine.name,
+                     machine.attempts.size());
+        command_sender_.raise_token(machine, now);
+    }
+    const std::vector<Attempt*> unreported = apply_task_reports(machine, heartbeat, now);
+    apply_absences(machine, unreported, heartbeat, new_incarnation, now);
+    if (heartbeat.preemption_notice_s) {
+        machine.preemption_expected_at = now + seconds(*heartbeat.preemption_notice_s);
+        cluster_.drain_machine(
+            machine,
+            fmt::format("is preempted by the cloud in {} s", *heartbeat.preemption_notice_s), now);
+    }
+    join_machine(machine, now);
+    command_sender_.queue(machine);  // commands that waited for the token or for free capacity
+}
+
+// Returns the machine's attempts that the heartbeat does not list.
+std::vector<Attempt*> HeartbeatReconciler::apply_task_reports(Machine& machine,
+                                                              const wire::Heartbeat& heartbeat,
+                                                              Millis now) {
+    std::vector<Attempt*> unreported = machine.attempts;
+    for (const wire::TaskReport& task : heartbeat.tasks) {
+        const auto found = std::find_if(
+            unreported.begin(), unreported.end(),
+            [&](const Attempt* attempt) { return is_report_of(task, *attempt, cluster_); });
+        if (found == unreported.end()) continue;
+        Attempt* attempt = *found;
+        unreported.erase(found);
+        const std::size_t attempts_before = machine.attempts.size();
+        cluster_.apply_task_report(*attempt, task, machine, now);
+        // What ends by one report may end and remove other attempts, too.
+        if (machine.attempts.size() != attempts_before)
+            std::erase_if(unreported, [&](const Attempt* other) { return !is_on(machine, other); });
+    }
+    return unreported;
+}
+
+void HeartbeatReconciler::apply_absences(Machine& machine, const std::vector<Attempt*>& unreported,
+                                         const wire::Heartbeat& heartbeat, bool new_incarnation,
+                                         Millis now) {
+    for (Attempt* attempt : unreported) {
+        // Ending one attempt may remove others of the list.
+        if (!is_on(machine, attempt)) continue;
+        const bool not_started_yet =
+            attempt->state == AttemptState::recording || attempt->state == AttemptState::recorded;
+        if (not_started_yet) continue;
+        if (!cluster::ClusterState::absence_is_conclusive(*attempt, machine)) continue;
+        const bool made_before_start =
+            !new_incarnation && heartbeat.sequence <= attempt->start_reply_sequence;
+        if (!made_before_start) cluster_.attempt_gone(*attempt, now);
+    }
+}
+
+// --- joining
+
+void HeartbeatReconciler::join_machine(Machine& machine, Millis now) {
+    // A machine that is expected may be taken at its word: it is probed before it gets tasks.
+    if (machine.state == MachineState::booting && !machine.unverified && machine.type != kNone)
+        on_booted(machine, now);
+    if (machine.state != MachineState::joining) return;
+    if (machine.type != kNone && !machine.shard_recorded) request_grant(machine, now);
+    if (!machine.shard_recorded || machine.recovering_jobs) return;
+    if (machine.confirmed() && machine.up_at != 0) {
+        cluster_.set_machine_state(machine, MachineState::ready);
+    } else {
+        machine.token_confirmation_pending = true;
+        command_sender_.queue(machine);
+    }
+}
+
+void HeartbeatReconciler::on_booted(Machine& machine, Millis now) {
+    cluster_.set_machine_state(machine, MachineState::joining);
+    machine.idle_since = now;
+    spdlog::info("machine {} ({}): up after {:.1f} s", machine.name,
+                 cluster_.describe_kind(machine),
+                 static_cast<double>(now - machine.provisioned_at) / kMillisPerSecond);
+}
+
+void HeartbeatReconciler::request_grant(Machine& machine, Millis now) {
+    shards::ShardLeaseTable& table = shard_lease_writer_.table();
+    table.add_machine({machine.name, machine.address, cluster_.types()[machine.type].name,
+                       cluster_.zones().name(machine.zone), machine.spot});
+    const std::uint64_t granted = table.token_of(machine.name);
+    if (granted > machine.token) cluster_.raise_token(machine, granted, now);
+}
+
+}  // namespace nickelramp::control
--- /dev/null
+++ b/src/control/heartbeat_reconciler.h
@@ -0,0 +1,87 @@
+/// \file
+/// Brings the cluster state in line with what machines say of themselves.
+///
+/// Runs on the controller's one loop thread; owns no sockets and reads no clock. Times are
+/// milliseconds of the steady clock.
+#pragma once
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "cluster/cluster_state.h"
+#include "control/command_sender.h"
+#include "control/reachability_monitor.h"
+#include "machines/heartbeat_reply.h"
+#include "sharding/shard_allocator.h"
+#include "sharding/shard_lease_writer.h"
+
+namespace nickelramp::control {
+
+/// Handles heartbeats and the machine states that command replies carry, and decides how a
+/// heartbeat is answered.
+///
+/// Guarantees: the cluster state changes only by messages that prove the machine's state
+/// (machines::proves_state); any other message leads at most to a probe. A heartbeat is accepted,
+/// which lengthens the worker's lease, only if this term may answer for the machine and its replies
+/// are known to arrive. Called by ControlLoop, which checks before that its term is not over; owned
+/// by it, and all references must outlive the reconciler.
+class HeartbeatReconciler {
+  public:
+    HeartbeatReconciler(cluster::TermContext& term, cluster::ClusterState& cluster,
+                        cluster::ControlActions& actions, CommandSender& command_sender,
+                        const ReachabilityMonitor& reachability_monitor,
+                        const sharding::ShardAllocator& shard_allocator,
+                        sharding::ShardLeaseWriter& shard_lease_writer)
+        : term_(term),
+          cluster_(cluster),
+          actions_(actions),
+          command_sender_(command_sender),
+          reachability_monitor_(reachability_monitor),
+          shard_allocator_(shard_allocator),
+          shard_lease_writer_(shard_lease_writer) {}
+
+    /// Applies a heartbeat and returns its reply: misdirected if another controller holds the
+    /// machine, unavailable if nobody can answer for it now or it must lose its lease.
+    [[nodiscard]] machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
+                                                        const machines::HeartbeatArrival& arrival,
+                                                        Millis now);
+    /// Applies the machine state that the reply to a direct message carried.
+    void on_command_reply(machines::Machine& machine, const wire::Heartbeat& heartbeat, Millis now);
+    /// Moves a machine from booting through joining to ready as far as is proven: it may be given
+    /// tasks once its grant is recorded and it has confirmed its token.
+    void join_machine(machines::Machine& machine, Millis now);
+
+  private:
+    [[nodiscard]] std::optional<machines::HeartbeatReply> rejection_of(
+        const wire::Heartbeat& heartbeat) const;
+    machines::Machine& find_or_add_machine(const wire::Heartbeat& heartbeat, Millis now);
+    void set_identity(machines::Machine& machine, const wire::Heartbeat& heartbeat);
+    void on_machine_reached(machines::Machine& machine, Millis now);
+    void probe_if_doubtful(machines::Machine& machine, machines::EvidenceFreshness freshness,
+                           bool reached, Millis now);
+    machines::HeartbeatReply reject_unissued_token(machines::Machine& machine,
+                                                   machines::EvidenceFreshness freshness,
+                                                   Millis now);
+    machines::HeartbeatReply reply_to(machines::Machine& machine, const wire::Heartbeat& heartbeat,
+                                      machines::EvidenceFreshness freshness, Millis now);
+
+    void apply_proven_state(machines::Machine& machine, const wire::Heartbeat& heartbeat,
+                            std::uint64_t previous_incarnation,
+                            machines::EvidenceFreshness freshness, Millis now);
+    std::vector<jobs::Attempt*> apply_task_reports(machines::Machine& machine,
+                                                   const wire::Heartbeat& heartbeat, Millis now);
+    void apply_absences(machines::Machine& machine, const std::vector<jobs::Attempt*>& unreported,
+                        const wire::Heartbeat& heartbeat, bool new_incarnation, Millis now);
+    void on_booted(machines::Machine& machine, Millis now);
+    void request_grant(machines::Machine& machine, Millis now);
+
+    cluster::TermContext& term_;
+    cluster::ClusterState& cluster_;
+    cluster::ControlActions& actions_;
+    CommandSender& command_sender_;
+    const ReachabilityMonitor& reachability_monitor_;
+    const sharding::ShardAllocator& shard_allocator_;
+    sharding::ShardLeaseWriter& shard_lease_writer_;
+};
+
+}  // namespace nickelramp::control
--- /dev/null
+++ b/src/control/machine_checker.h
@@ -0,0 +1,69 @@
+/// \file
+/// What follows for a machine as time passes: it is late to boot, unresponsive, idle, or its lease
+/// has ended.
+///
+/// Runs on the controller's one loop thread; owns no sockets and reads no clock. Times are
+/// milliseconds of the steady clock.
+#pragma once
+#include "autoscaling/autoscaler.h"
+#include "cluster/cluster_state.h"
+#include "control/command_sender.h"
+#include "control/reachability_monitor.h"
+#include "failure/failure_detector.h"
+#include "partition/partition_responder.h"
+
+namespace nickelramp::control {
+
+/// Checks every machine that is due and schedules its next check: once a second while it does well,
+/// else five times a second.
+///
+/// Guarantees: what may be on a machine is given up only when its lease has certainly ended,
+/// whoever may have answered its heartbeats. An unresponsive machine is handed to the failure
+/// detector, which decides; all machines of a tick are counted before the first is given up. Called
+/// by ControlLoop::tick, owned by ControlLoop; all references must outlive the checker.
+class MachineChecker {
+  public:
+    MachineChecker(const cluster::TermContext& term, cluster::ClusterState& cluster,
+                   autoscaling::Autoscaler& autoscaler, CommandSender& command_sender,
+                   failure::FailureDetector& failure_detector,
+                   const partition::HeartbeatDelegator& heartbeat_delegator,
+                   const ReachabilityMonitor& reachability_monitor)
+        : term_(term),
+          cluster_(cluster),
+          autoscaler_(autoscaler),
+          command_sender_(command_sender),
+          failure_detector_(failure_detector),
+          heartbeat_delegator_(heartbeat_delegator),
+          reachability_monitor_(reachability_monitor) {}
+
+    /// Checks the machines that are due; then sends the releases that are on record.
+    void check_machines(Millis now);
+    /// Whether commands have been lost to all machines for so long that another controller should
+    /// lead: heartbeats arrive through others while this one reaches no machine.
+    [[nodiscard]] bool commands_lost(Millis now) const;
+
+  private:
+    void probe_after_lost_commands(Millis now);
+    void check_machine(machines::Machine& machine, Millis now);
+    void check_reachability(machines::Machine& machine, Millis now);
+    void check_lease(machines::Machine& machine, Millis now);
+    void check_boot(machines::Machine& machine, Millis now);
+    void check_idle(machines::Machine& machine, Millis now);
+    [[nodiscard]] const char* idle_release_reason(const machines::Machine& machine,
+                                                  Millis now) const;
+    [[nodiscard]] Millis time_since_reached(const machines::Machine& machine, Millis now) const;
+    [[nodiscard]] Millis lost_timeout() const;
+    [[nodiscard]] bool awaiting_takeover(Millis now) const;
+
+    const cluster::TermContext& term_;
+    cluster::ClusterState& cluster_;
+    autoscaling::Autoscaler& autoscaler_;
+    CommandSender& command_sender_;
+    failure::FailureDetector& failure_detector_;
+    const partition::HeartbeatDelegator& heartbeat_delegator_;
+    const ReachabilityMonitor& reachability_monitor_;
+    std::size_t next_probe_index_ = 0;  ///< in the list of machines
+    Millis next_probe_at_ = 0;
+};
+
+}  // namespace nickelramp::control
--- a/src/control/shard_holder.cpp
+++ b/src/control/shard_holder.cpp
@@ -7,8 +7,9 @@
 namespace nickelramp::control {
 
 namespace {
-constexpr Millis kTend = 10'000;
-}
+/// How long running tasks are tended after the lease has ended.
+constexpr Millis kWindDownTime = 10'000;
+}  // namespace
 
 ShardHolder::ShardHolder(const wire::Settings& settings, std::string term_key,
                          ServiceGateway& gateway, std::uint64_t incarnation)
@@ -17,76 +18,96 @@
       gateway_(gateway),
       incarnation_(incarnation) {}
 
-// The lease runs from when this node sent the status that the grant answers.
-void ShardHolder::on_grant(const peers::ShardGrant& g, const std::vector<wire::MachineType>& types,
-                           std::int64_t wall_ms, Millis now) {
-    Millis asked = static_cast<Millis>(g.status_clock_ms);
-    bool older = g.term < grant_.term || (g.term == grant_.term && g.token < grant_.token);
-    // Not for the process before this one, and not for a block that was let go: commands under its
-    // token may still be under way.
-    if (asked > now || older || g.incarnation != incarnation_ || g.token == ended_token_) return;
-    Millis until = asked + without_clock_drift(static_cast<Millis>(g.lease_ms));
+bool ShardHolder::is_acceptable(const peers::ShardGrant& grant, Millis now) const {
+    const bool older =
+        grant.term < grant_.term || (grant.term == grant_.term && grant.token < grant_.token);
+    const bool for_earlier_process = grant.incarnation != incarnation_;
+    // Of a shard that was let go: commands under its token may still be in flight.
+    const bool of_ended_shard = grant.token == ended_token_;
+    return static_cast<Millis>(grant.status_clock_ms) <= now && !older && !for_earlier_process &&
+           !of_ended_shard;
+}
+
+void ShardHolder::on_grant(const peers::ShardGrant& grant,
+                           const std::vector<wire::MachineType>& types, std::int64_t wall_ms,
+                           Millis now) {
+    if (!is_acceptable(grant, now)) return;
+    // The lease runs from when this controller sent the status that the grant replies to.
+    const auto status_sent_at = static_cast<Millis>(grant.status_clock_ms);
+    const Millis until = status_sent_at + without_clock_drift(static_cast<Millis>(grant.lease_ms));
     if (until <= now || types.empty()) return;
-    if (state_ == ShardHolderState::empty || g.token != grant_.token) {
-        end("another block is granted");
-        spdlog::info("holding block {} of {} machines for {}", g.shard, g.machines.size(), g.from);
-        grant_ = g;
-        control_loop_ =
-            std::make_unique<ControlLoop>(settings_, TermInfo{g.term, term_key_, g.term_version},
-                                          gateway_, now, TermScope::single_shard);
-        control_loop_->set_machine_types(types);
-        control_loop_->take_shard(g, now);
-        lease_until_ = cancellations_known_until_ = 0;
-    }
+    if (state_ == ShardHolderState::empty || grant.token != grant_.token)
+        take_shard(grant, types, now);
     lease_until_ = std::max(lease_until_, until);
-    cancellations_known_until_ =
-        std::max(cancellations_known_until_, asked - static_cast<Millis>(g.view_age_ms));
+    cancellations_known_until_ = std::max(cancellations_known_until_,
+                                          status_sent_at - static_cast<Millis>(grant.view_age_ms));
     set_state(ShardHolderState::active);
     control_loop_->confirm_lease_until(lease_until_);
-    for (const auto& job : g.jobs) {
+    for (const auto& job : grant.jobs) {
         if (job.cancelled != 0) control_loop_->cancel_delegated_job(job.id, now);
-        if (jobs_.emplace(job.id, false).second) load_job(job.id, wall_ms);
+        if (jobs_.emplace(job.id, LoadState::loading).second) load_job(job.id, wall_ms);
     }
 }
 
-// A lent job comes with its id only; its records are read from the state service.
+void ShardHolder::take_shard(const peers::ShardGrant& grant,
+                             const std::vector<wire::MachineType>& types, Millis now) {
+    end("another shard is granted");
+    spdlog::info("shard {}: leased from {}, machines={}", grant.shard, grant.from,
+                 grant.machines.size());
+    grant_ = grant;
+    control_loop_ = std::make_unique<ControlLoop>(
+        settings_, TermInfo{grant.term, term_key_, grant.term_version}, gateway_, now,
+        TermScope::single_shard);
+    control_loop_->set_machine_types(types);
+    control_loop_->take_shard(grant, now);
+    lease_until_ = cancellations_known_until_ = 0;
+}
+
+// Whether the job is still to be loaded into the shard that was held under `token`.
+bool ShardHolder::still_wants(const std::string& id, std::uint64_t token) const {
+    return control_loop_ && grant_.token == token && jobs_.count(id) != 0;
+}
+
+// A grant names a delegated job by its id only; its records are read from the key-value store.
 void ShardHolder::load_job(const std::string& id, std::int64_t wall_ms) {
-    auto mine = [this, alive = std::weak_ptr<char>(alive_), token = grant_.token, id] {
-        return alive.lock() && control_loop_ && grant_.token == token && jobs_.count(id) != 0;
-    };
-    gateway_.read(
-        jobs::open_key(id), [this, id, mine, wall_ms](Millis, const kvstore::GetReply& open) {
-            if (!mine()) return;
-            if (open.status == kvstore::Status::missing) {
-                jobs_[id] = true;  // over already
-                return;
-            }
-            auto record = open.status == kvstore::Status::ok
-                              ? jobs::decode_open_record(open.entry.value)
-                              : std::nullopt;
-            if (!record) {
-                jobs_.erase(id);  // the next grant names it again
-                return;
-            }
-            gateway_.list("run/" + id + "/",
-                          [this, id, mine, record, wall_ms, version = open.entry.version](
-                              Millis t, const kvstore::ListReply& runs) {
-                              if (!mine()) return;
-                              if (runs.status != kvstore::Status::ok) {
-                                  jobs_.erase(id);
-                                  return;
-                              }
-                              jobs_[id] = true;
-                              control_loop_->add_delegated_job(*record, version, runs, wall_ms, t);
-                          });
-        });
+    gateway_.read(jobs::open_key(id),
+                  [this, alive = std::weak_ptr<char>(alive_), token = grant_.token, id, wall_ms](
+                      Millis, const kvstore::GetReply& open) {
+                      if (!alive.lock() || !still_wants(id, token)) return;
+                      if (open.status == kvstore::Status::missing) {
+                          jobs_[id] = LoadState::loaded;  // over already: status() says so
+                          return;
+                      }
+                      const auto record = open.status == kvstore::Status::ok
+                                              ? jobs::decode_open_record(open.entry.value)
+                                              : std::nullopt;
+                      if (record)
+                          load_checkpoints(id, *record, open.entry.version, wall_ms);
+                      else
+                          jobs_.erase(id);  // the next grant names it again
+                  });
+}
+
+void ShardHolder::load_checkpoints(const std::string& id, const jobs::OpenRecord& record,
+                                   std::uint64_t version, std::int64_t wall_ms) {
+    gateway_.list("run/" + id + "/",
+                  [this, alive = std::weak_ptr<char>(alive_), token = grant_.token, id, record,
+                   version, wall_ms](Millis listed_at, const kvstore::ListReply& runs) {
+                      if (!alive.lock() || !still_wants(id, token)) return;
+                      if (runs.status != kvstore::Status::ok) {
+                          jobs_.erase(id);  // the next grant names it again
+                          return;
+                      }
+                      jobs_[id] = LoadState::loaded;
+                      control_loop_->add_delegated_job(record, version, runs, wall_ms, listed_at);
+                  });
 }
 
 void ShardHolder::tick(Millis now) {
     if (state_ == ShardHolderState::empty) return;
     if (now >= lease_until_) {
         set_state(ShardHolderState::winding_down);
-        if (now - lease_until_ > kTend) {
+        if (now - lease_until_ > kWindDownTime) {
             end("the lease has ended");
             return;
         }
@@ -96,7 +117,7 @@
 
 void ShardHolder::end(const std::string& why) {
     if (state_ == ShardHolderState::empty) return;
-    spdlog::info("block {} is not held any more: {}", grant_.shard, why);
+    spdlog::info("shard {}: let go, {}", grant_.shard, why);
     set_state(ShardHolderState::empty);
     ended_token_ = grant_.token;
     control_loop_->confirm_lease_until(0);
@@ -111,26 +132,26 @@
                        [&](const shards::ShardMember& member) { return member.name == machine; });
 }
 
-machines::HeartbeatReply ShardHolder::on_heartbeat(const wire::Heartbeat& heartbeat, bool follows,
-                                                   Millis now) {
-    // Whoever cannot know of a cancellation must let the leases run out in time.
-    if (now > may_respond_until()) return {503, "", 0, {}};
-    return control_loop_->on_heartbeat(heartbeat, follows, now);
+machines::HeartbeatReply ShardHolder::on_heartbeat(const wire::Heartbeat& heartbeat,
+                                                   bool follows_reply, Millis now) {
+    // Cancellations may have been missed: the workers' leases must run out in time.
+    if (now > may_respond_until()) return machines::HeartbeatReply::unavailable();
+    return control_loop_->on_heartbeat(heartbeat, follows_reply, now);
 }
 
 std::optional<peers::ShardStatus> ShardHolder::status() const {
     if (state_ == ShardHolderState::empty) return std::nullopt;
-    peers::ShardStatus n;
-    n.from = settings_.name;
-    n.term = grant_.term;
-    n.token = grant_.token;
-    for (const auto& [id, loaded] : jobs_) {
-        if (!loaded) continue;
-        auto p = control_loop_->progress(id);
-        n.jobs.push_back({id, p.done, p.running, p.known ? 0u : 1u});
+    peers::ShardStatus status;
+    status.from = settings_.name;
+    status.term = grant_.term;
+    status.token = grant_.token;
+    for (const auto& [id, load_state] : jobs_) {
+        if (load_state == LoadState::loading) continue;
+        const ControlLoop::Progress progress = control_loop_->progress(id);
+        status.jobs.push_back({id, progress.done, progress.running, progress.known ? 0u : 1u});
     }
-    n.unhealthy_machines = control_loop_->unhealthy_machines();
-    return n;
+    status.unhealthy_machines = control_loop_->unhealthy_machines();
+    return status;
 }
 
 }  // namespace nickelramp::control
