--- a/src/relay/forward_admission.cpp
+++ b/src/relay/forward_admission.cpp
@@ -23,7 +23,7 @@
     Millis now) {
     if (forwarded.term != term || forwarded.leader_incarnation != incarnation)
         return reject(Rejection::other_term, forwarded.from);
-    // Bounded before they are added: a peer may send any number.
+    // Checked before they are added: a peer may send any number, and the sum could overflow.
     const auto clock = static_cast<std::uint64_t>(now);
     if (forwarded.leader_clock_ms > clock || forwarded.since_status_ms > clock)
         return reject(Rejection::future, forwarded.from);
@@ -38,10 +38,11 @@
 }
 
 std::optional<machines::HeartbeatArrival> ForwardAdmission::reject(Rejection rejection,
-                                                                   const std::string& from) {
+                                                                   const std::string& forwarder) {
     std::uint64_t& count = rejected_[static_cast<std::size_t>(rejection)];
     if (++count == 1)
-        spdlog::warn("reports forwarded by {} are dropped: {}; said once", from, name(rejection));
+        spdlog::warn("forwarded heartbeat rejected: from={} reason={}; logged once per reason",
+                     forwarder, name(rejection));
     return std::nullopt;
 }
 
--- a/src/relay/heartbeat_forwarder.cpp
+++ b/src/relay/heartbeat_forwarder.cpp
@@ -5,13 +5,12 @@
 namespace nickelramp::relay {
 
 namespace {
-constexpr std::size_t kMostPending = 8'192;  // some 400 bytes each
-const machines::HeartbeatReply kUnavailable{503, "", 0, {}};
+constexpr std::size_t kMaxPending = 8'192;  // some 400 bytes each
 }  // namespace
 
 void HeartbeatForwarder::on_peer_status(const peers::Status& status, Millis now) {
-    const bool takes_reports = status.term != 0 && status.heartbeat_term == status.term;
-    if (!takes_reports) {
+    const bool accepts_heartbeats = status.term != 0 && status.heartbeat_term == status.term;
+    if (!accepts_heartbeats) {
         if (leader_ && leader_->name == status.from) leader_.reset();
         return;
     }
@@ -24,14 +23,8 @@
     return fresh ? leader_->term : 0;
 }
 
-bool HeartbeatForwarder::forward(const wire::Heartbeat& heartbeat, std::uint64_t follows_term,
-                                 Respond respond, Millis now) {
-    if (reachable_term(now) == 0) return false;
-    drop_older_heartbeats(heartbeat.machine);
-    if (pending_.size() >= kMostPending) {
-        ++counters_.shed;
-        return false;
-    }
+peers::ForwardedHeartbeat HeartbeatForwarder::make_message(const wire::Heartbeat& heartbeat,
+                                                           std::uint64_t follows_term, Millis now) {
     peers::ForwardedHeartbeat message;
     message.from = name_;
     message.incarnation = incarnation_;
@@ -42,6 +35,18 @@
     message.since_status_ms = static_cast<std::uint64_t>(now - leader_->last_status_at);
     message.follows_reply = follows_term == leader_->term;
     message.heartbeat = heartbeat;
+    return message;
+}
+
+bool HeartbeatForwarder::forward(const wire::Heartbeat& heartbeat, std::uint64_t follows_term,
+                                 Respond respond, Millis now) {
+    if (reachable_term(now) == 0) return false;
+    drop_older_heartbeat(heartbeat.machine);
+    if (pending_.size() >= kMaxPending) {
+        ++counters_.shed;
+        return false;
+    }
+    const peers::ForwardedHeartbeat message = make_message(heartbeat, follows_term, now);
     if (!send_(leader_->name, peers::encode(message))) {
         ++counters_.shed;
         return false;
@@ -53,37 +58,38 @@
     return true;
 }
 
-// A worker has one report under way: whoever sends another has given up the one before.
-void HeartbeatForwarder::drop_older_heartbeats(const std::string& machine) {
-    auto older = by_machine_.find(machine);
+// A worker has one heartbeat in flight: once it sends another, it has given up the one before.
+void HeartbeatForwarder::drop_older_heartbeat(const std::string& machine) {
+    const auto older = by_machine_.find(machine);
     if (older == by_machine_.end()) return;
-    finish(pending_.find(older->second), kUnavailable);
+    finish(pending_.find(older->second), machines::HeartbeatReply::unavailable());
 }
 
-void HeartbeatForwarder::on_reply(const peers::ForwardedReply& answer, Millis now) {
-    auto it = pending_.find(answer.sequence);
-    const bool mine = answer.incarnation == incarnation_ && it != pending_.end();
-    if (!mine || it->second.term != answer.term || now >= it->second.deadline) {
+void HeartbeatForwarder::on_reply(const peers::ForwardedReply& reply, Millis now) {
+    const auto pending = pending_.find(reply.sequence);
+    const bool known = reply.incarnation == incarnation_ && pending != pending_.end();
+    if (!known || pending->second.term != reply.term || now >= pending->second.deadline) {
         ++counters_.unmatched;
         return;
     }
     ++counters_.replied;
-    finish(it,
-           {static_cast<int>(answer.http_status), answer.holder, answer.token, answer.commands});
+    finish(pending,
+           {static_cast<int>(reply.http_status), reply.holder, reply.token, reply.commands});
 }
 
 void HeartbeatForwarder::expire(Millis now) {
     while (!pending_.empty() && now >= pending_.begin()->second.deadline) {
         ++counters_.expired;
-        finish(pending_.begin(), kUnavailable);
+        finish(pending_.begin(), machines::HeartbeatReply::unavailable());
     }
 }
 
-void HeartbeatForwarder::finish(Table::iterator it, const machines::HeartbeatReply& reply) {
-    const Pending pending = std::move(it->second);
-    by_machine_.erase(pending.machine);
-    pending_.erase(it);
-    pending.respond(reply, pending.term);
+// Removed before the reply is passed on: that may forward the next heartbeat.
+void HeartbeatForwarder::finish(Table::iterator pending, const machines::HeartbeatReply& reply) {
+    const Pending finished = std::move(pending->second);
+    by_machine_.erase(finished.machine);
+    pending_.erase(pending);
+    finished.respond(reply, finished.term);
 }
 
 }  // namespace nickelramp::relay
--- a/src/relay/worker_balancer.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -12,38 +12,43 @@
 namespace {
 // The leader needs sockets for commands, and every one that it saves is processor time for
 // decisions: it takes fewer workers than the others.
-constexpr double kLeaderFactor = 1.5;
-// Part of a controller's sockets that staying in the worker's zone is worth.
-constexpr double kZoneWorth = 0.2;
-// Smaller differences move nobody, so that workers do not go to and fro.
-constexpr double kLeastGain = 0.15;
-// Of a controller's sockets, a second.
-constexpr double kMovedPart = 0.02;
-constexpr double kLeastMoved = 2;  // a second
+constexpr double kLeaderLoadFactor = 1.5;
+// The part of a controller's sockets that staying in the worker's zone is worth.
+constexpr double kZoneChangeCost = 0.2;
+// Smaller gains move no worker, so that workers do not go to and fro.
+constexpr double kMinGain = 0.15;
+// Workers moved a second: a part of the controller's sockets, but at least so many.
+constexpr double kRedirectedPart = 0.02;
+constexpr double kMinRedirectsPerSecond = 2;
 constexpr double kMillisPerSecond = 1000;
-// Who is back so soon was not answered there: nobody else is sent there for a while.
-constexpr Millis kBackWithin = 30'000, kAvoided = 30'000;
-// Of a controller's sockets, the least and the most that workers may have, whatever users need.
-constexpr double kLeastForWorkers = 0.2, kMostForWorkers = 0.62;
-// Of those for connections, kept for users that come in a burst.
-constexpr double kUsed = 0.95;
-// Of its sockets: beyond that it refuses connections now and then.
-constexpr double kFull = 0.95 * net::kServerSocketShare;
-// A controller that has not been heard for longer has ended, and is not coming back soon.
-constexpr Millis kRecently = 60'000;
-
-double used(std::size_t sockets, std::size_t most) {
-    return static_cast<double>(sockets) / static_cast<double>(most);
+// A worker that is back so soon got no reply where it was sent: no other is sent there for a while.
+constexpr Millis kReturnWindow = 30'000;
+constexpr Millis kAvoidanceTime = 30'000;
+// The least and the most of a controller's sockets for workers, whatever users need.
+constexpr double kMinWorkerPart = 0.2;
+constexpr double kMaxWorkerPart = 0.62;
+// Of the server sockets; the rest is kept for users that come in a burst.
+constexpr double kPlannedPart = 0.95;
+// With more of its sockets in use, a controller refuses connections now and then.
+constexpr double kFullPart = 0.95 * net::kServerSocketShare;
+// A controller that has not been heard for longer has ended and is not coming back soon.
+constexpr Millis kRecent = 60'000;
+
+double part_in_use(std::size_t sockets, std::size_t max_sockets) {
+    return static_cast<double>(sockets) / static_cast<double>(max_sockets);
+}
+double weighted_load(std::size_t sockets, std::size_t max_sockets, bool leads) {
+    return part_in_use(sockets, max_sockets) * (leads ? kLeaderLoadFactor : 1);
 }
-double load(std::size_t sockets, std::size_t most, bool leads) {
-    return used(sockets, most) * (leads ? kLeaderFactor : 1);
+bool is_full(std::size_t sockets, std::size_t max_sockets) {
+    return part_in_use(sockets, max_sockets) > kFullPart;
 }
-bool full(std::size_t sockets, std::size_t most) { return used(sockets, most) > kFull; }
 }  // namespace
 
 void WorkerBalancer::on_peer_status(const peers::Status& status, Millis now) {
-    auto known = std::find_if(settings_.peers.begin(), settings_.peers.end(),
-                              [&](const wire::Peer& peer) { return peer.name == status.from; });
+    const auto known =
+        std::find_if(settings_.peers.begin(), settings_.peers.end(),
+                     [&](const wire::Peer& peer) { return peer.name == status.from; });
     if (known == settings_.peers.end()) return;
     if (status.max_sockets == 0) {
         older_version_seen_at_ = now;
@@ -52,92 +57,97 @@
     Peer& peer = peers_[status.from];
     peer.zone = known->zone;
     peer.heartbeat_term = status.heartbeat_term;
-    peer.load = load(status.sockets, status.max_sockets, status.term != 0);
+    peer.load = weighted_load(status.sockets, status.max_sockets, status.term != 0);
     peer.last_status_at = now;
     peer.worker_sockets = status.worker_sockets;
-    peer.worker_capacity =
-        free_worker_slots(status.sockets, status.worker_sockets, status.max_sockets);
-    if (full(status.sockets, status.max_sockets)) peer.full_at = now;
+    peer.worker_capacity = worker_slots(status.sockets, status.worker_sockets, status.max_sockets);
+    if (is_full(status.sockets, status.max_sockets)) peer.full_at = now;
 }
 
 // What users leave of a controller's sockets.
-std::size_t WorkerBalancer::free_worker_slots(std::size_t sockets, std::size_t worker_sockets,
-                                              std::size_t most) {
-    const auto all = static_cast<double>(most);
-    const double others = static_cast<double>(sockets - std::min(sockets, worker_sockets));
-    const double left = kUsed * net::kServerSocketShare * all - others;
-    return static_cast<std::size_t>(
-        std::clamp(left, kLeastForWorkers * all, kMostForWorkers * all));
+std::size_t WorkerBalancer::worker_slots(std::size_t sockets, std::size_t worker_sockets,
+                                         std::size_t max_sockets) {
+    const auto all = static_cast<double>(max_sockets);
+    const auto used_by_others = static_cast<double>(sockets - std::min(sockets, worker_sockets));
+    const double left = kPlannedPart * net::kServerSocketShare * all - used_by_others;
+    return static_cast<std::size_t>(std::clamp(left, kMinWorkerPart * all, kMaxWorkerPart * all));
 }
 
 void WorkerBalancer::set_own_load(std::size_t sockets, std::size_t worker_sockets, bool leads,
                                   Millis now) {
-    own_load_ = load(sockets, settings_.max_sockets, leads);
-    own_worker_capacity_ = free_worker_slots(sockets, worker_sockets, settings_.max_sockets);
-    if (full(sockets, settings_.max_sockets)) own_full_at_ = now;
+    own_load_ = weighted_load(sockets, settings_.max_sockets, leads);
+    own_worker_capacity_ = worker_slots(sockets, worker_sockets, settings_.max_sockets);
+    if (is_full(sockets, settings_.max_sockets)) own_full_at_ = now;
 }
 
 machines::WorkerCapacity WorkerBalancer::worker_capacity(Millis now) const {
-    machines::WorkerCapacity all;
-    all.max_machines = own_worker_capacity_;
-    all.sockets_exhausted = now - own_full_at_ < kRecently;
+    machines::WorkerCapacity total;
+    total.max_machines = own_worker_capacity_;
+    total.sockets_exhausted = now - own_full_at_ < kRecent;
     for (const auto& [name, peer] : peers_) {
-        if (now - peer.last_status_at > kRecently) continue;
-        all.sockets_exhausted |= now - peer.full_at < kRecently;
-        all.max_machines += peer.worker_capacity;
+        if (now - peer.last_status_at > kRecent) continue;
+        total.sockets_exhausted |= now - peer.full_at < kRecent;
+        total.max_machines += peer.worker_capacity;
     }
-    // What one of an earlier version has room for nobody knows.
-    if (now - older_version_seen_at_ < kRecently) all.max_machines = SIZE_MAX;
-    return all;
+    // The capacity of a controller of an earlier version is not known.
+    if (now - older_version_seen_at_ < kRecent) total.max_machines = SIZE_MAX;
+    return total;
 }
 
 double WorkerBalancer::cost(double load, const std::string& zone,
                             const wire::Heartbeat& heartbeat) const {
-    return load + (zone == heartbeat.zone ? 0 : kZoneWorth);
+    return load + (zone == heartbeat.zone ? 0 : kZoneChangeCost);
 }
 
 void WorkerBalancer::forget_old_redirects(Millis now) {
-    while (!redirect_order_.empty() && now - redirect_order_.front().first > kBackWithin) {
-        auto sent = redirects_.find(redirect_order_.front().second);
-        if (sent != redirects_.end() && sent->second.at == redirect_order_.front().first)
-            redirects_.erase(sent);
+    while (!redirect_order_.empty() && now - redirect_order_.front().at > kReturnWindow) {
+        const RedirectTime& oldest = redirect_order_.front();
+        const auto redirect = redirects_.find(oldest.machine);
+        // The worker may have been redirected again since.
+        if (redirect != redirects_.end() && redirect->second.at == oldest.at)
+            redirects_.erase(redirect);
         redirect_order_.pop_front();
     }
 }
 
 void WorkerBalancer::on_worker_arrived(const std::string& machine, Millis now) {
     forget_old_redirects(now);
-    auto sent = redirects_.find(machine);
-    if (sent == redirects_.end()) return;
-    peers_[sent->second.peer].avoided_until = now + kAvoided;
-    redirects_.erase(sent);
+    const auto redirect = redirects_.find(machine);
+    if (redirect == redirects_.end()) return;
+    peers_[redirect->second.peer].avoided_until = now + kAvoidanceTime;
+    redirects_.erase(redirect);
+}
+
+bool WorkerBalancer::can_take_worker(const Peer& peer, std::uint64_t term, Millis now) const {
+    return peer.heartbeat_term == term && peer.worker_sockets < peer.worker_capacity &&
+           now - peer.last_status_at < readiness::kPeerStatusLifetime && now >= peer.avoided_until;
 }
 
 std::string WorkerBalancer::better_controller(const wire::Heartbeat& heartbeat, std::uint64_t term,
                                               Millis now) {
-    const double own = cost(own_load_, settings_.zone, heartbeat);
-    std::vector<const std::string*> choice;
+    const double own_cost = cost(own_load_, settings_.zone, heartbeat);
+    std::vector<const std::string*> better;
     for (const auto& [name, peer] : peers_) {
-        const bool able =
-            peer.heartbeat_term == term && peer.worker_sockets < peer.worker_capacity &&
-            now - peer.last_status_at < readiness::kPeerStatusLifetime && now >= peer.avoided_until;
-        if (able && cost(peer.load, peer.zone, heartbeat) + kLeastGain < own)
-            choice.push_back(&name);
+        if (can_take_worker(peer, term, now) &&
+            cost(peer.load, peer.zone, heartbeat) + kMinGain < own_cost)
+            better.push_back(&name);
     }
-    if (choice.empty() || !take_redirect_token(now)) return {};
+    if (better.empty() || !take_redirect_token(now)) return {};
     ++redirected_count_;
     // Spread over all that are better: many controllers move workers at the same time.
-    const std::string& to = *choice[std::hash<std::string>{}(heartbeat.machine) % choice.size()];
-    redirects_[heartbeat.machine] = {to, now};
-    redirect_order_.emplace_back(now, heartbeat.machine);
-    return to;
+    const std::size_t choice = std::hash<std::string>{}(heartbeat.machine) % better.size();
+    const std::string& peer = *better[choice];
+    redirects_[heartbeat.machine] = {peer, now};
+    redirect_order_.push_back({now, heartbeat.machine});
+    return peer;
 }
 
+// A token bucket that holds one second's redirects.
 bool WorkerBalancer::take_redirect_token(Millis now) {
-    const double a_second =
-        std::max(kLeastMoved, kMovedPart * static_cast<double>(settings_.max_sockets));
-    const double since = static_cast<double>(now - refilled_at_) / kMillisPerSecond;
-    redirect_tokens_ = std::min(a_second, redirect_tokens_ + a_second * since);
+    const double per_second = std::max(
+        kMinRedirectsPerSecond, kRedirectedPart * static_cast<double>(settings_.max_sockets));
+    const double elapsed_s = static_cast<double>(now - refilled_at_) / kMillisPerSecond;
+    redirect_tokens_ = std::min(per_second, redirect_tokens_ + per_second * elapsed_s);
     refilled_at_ = now;
     if (redirect_tokens_ < 1) return false;
     redirect_tokens_ -= 1;
--- a/tests/forwarding_simulation.h
+++ b/tests/forwarding_simulation.h
@@ -1,8 +1,11 @@
-// Controllers that forward workers' reports to the leader, in simulated time: messages between them
-// are lost, repeated and held back, they stand still and begin anew. Wraps the real forwarder and
-// admission, and asserts at every step what the leader's book relies on.
+/// \file
+/// Controllers that forward workers' heartbeats to the leader, in simulated time: messages between
+/// them are lost, repeated and delayed, they freeze and restart. Wraps the real HeartbeatForwarder
+/// and ForwardAdmission, and checks at every step what the leader's cluster state relies on. Used
+/// by ClusterSimulation.
 #pragma once
 #include <functional>
+#include <map>
 #include <memory>
 #include <random>
 #include <string>
@@ -15,11 +18,11 @@
 namespace nickelramp::test {
 
 struct ForwardingFaults {
-    double lost = 0;            // of messages between controllers
-    double repeated = 0;        // arrive once more, up to a minute later
-    double delayed = 0;         // arrive up to a minute late
-    double freezes_per_s = 0;   // a second, for one forwarder: for up to 12 s
-    double restarts_per_s = 0;  // a second, for one forwarder
+    double lost = 0;            ///< probability for a message between controllers
+    double repeated = 0;        ///< the same: it arrives once more, up to a minute later
+    double delayed = 0;         ///< the same: it arrives up to a minute late
+    double freezes_per_s = 0;   ///< for one forwarder, each for up to 12 s
+    double restarts_per_s = 0;  ///< for one forwarder
 };
 
 class ForwardingSimulation {
@@ -28,25 +31,27 @@
         std::size_t node = 0;
         std::uint64_t term = 0, incarnation = 0;
     };
+    /// What the surrounding simulation gives.
     struct Environment {
-        std::function<void(Millis after, std::function<void()>)> after;
+        std::function<void(Millis delay, std::function<void()>)> after;
         std::function<Millis()> now;
-        std::function<std::vector<Leader>()> leaders;  // all that take themselves for it
-        // The node's book answers.
+        std::function<std::vector<Leader>()> leaders;  ///< all that believe that they lead
+        /// The reply of the node's control loop.
         std::function<machines::HeartbeatReply(std::size_t node, const wire::Heartbeat&,
                                                const machines::HeartbeatArrival&)>
             deliver_heartbeat;
     };
     ForwardingSimulation(std::size_t forwarders, ForwardingFaults faults, std::mt19937_64& random,
-                         Environment around, Trace& trace);
+                         Environment environment, Trace& trace);
 
-    // `follows_term`: of the last answer 200 that the worker has received there; `answered` gets
-    // the leader's answer and its term, or is never called.
+    /// `follows_term`: of the last accepting reply that the worker got from this forwarder;
+    /// `respond` gets the leader's reply and its term, or is never called.
     void send_heartbeat(std::size_t forwarder, const wire::Heartbeat& heartbeat,
-                        std::uint64_t follows_term, relay::HeartbeatForwarder::Respond answered);
+                        std::uint64_t follows_term, relay::HeartbeatForwarder::Respond respond);
     std::size_t size() const { return controllers_.size(); }
     void set_faults(ForwardingFaults faults) { faults_ = faults; }
 
+    /// How often each case came about.
     struct Coverage {
         std::size_t admitted = 0, followed = 0, relayed = 0, stale = 0, other_term = 0,
                     unmatched = 0, expired = 0;
@@ -59,21 +64,28 @@
         std::unique_ptr<relay::HeartbeatForwarder> forwarder;
         std::uint64_t incarnation = 0;
         Millis frozen_until = 0;
-        double drift = 0;                            // of its steady clock
-        std::vector<std::function<void()>> waiting;  // messages that came while it stood still
+        double drift = 0;                            ///< of its steady clock, as a part
+        std::vector<std::function<void()>> waiting;  ///< messages that came while it was frozen
     };
-    bool chance(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
-    Millis up_to(Millis most) {
-        return 1 + static_cast<Millis>(random_() % static_cast<unsigned>(most));
+    bool chance(double probability) {
+        return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
+    }
+    Millis up_to(Millis limit) {
+        return 1 + static_cast<Millis>(random_() % static_cast<unsigned>(limit));
     }
     void start_process(Controller& controller);
     void broadcast_status();
-    // Carries it out once or more, sooner or later, or never.
+    void step_process(Controller& controller);
+    void send_leader_statuses(Controller& controller);
+    /// The message arrives once or more, sooner or later, or never.
     void send(const std::function<void()>& arrive);
-    // In the process that the controller is by then, once it does not stand still.
+    /// In the process that the controller runs by then, once it is not frozen.
     void run_in_process(Controller& controller, std::function<void()> act);
     Millis clock(const Controller& controller) const;
-    void deliver_to_leader(const peers::ForwardedHeartbeat& message);
+    void deliver_to_leaders(const peers::ForwardedHeartbeat& message);
+    void check_arrival(const peers::ForwardedHeartbeat& message,
+                       const machines::HeartbeatArrival& arrival, const Leader& leader);
+    void send_reply(const std::string& forwarder, const peers::ForwardedReply& reply);
 
     ForwardingFaults faults_;
     std::mt19937_64& random_;
@@ -82,12 +94,13 @@
     std::vector<std::unique_ptr<Controller>> controllers_;
     std::uint64_t incarnations_ = 100;
     relay::ForwardAdmission admission_;
-    // The truth, by machine and report: when it reached a forwarder, and the term it follows.
-    struct SentHeartbeat {
-        Millis at = 0;
-        std::uint64_t follows_term = 0;
+    struct HeartbeatId {
+        std::string machine;
+        machines::MessagePosition position;
+        friend auto operator<=>(const HeartbeatId&, const HeartbeatId&) = default;
     };
-    std::map<std::pair<std::string, machines::MessagePosition>, SentHeartbeat> sent_heartbeats_;
+    /// The term of the reply that each heartbeat really follows; 0: none.
+    std::map<HeartbeatId, std::uint64_t> followed_terms_;
     Coverage coverage_;
 };
 
