--- a/src/readiness/readiness.cpp
+++ b/src/readiness/readiness.cpp
@@ -2,15 +2,15 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
-
 #include "readiness/peer_health.h"
 
 namespace nickelramp::readiness {
 
 namespace {
-constexpr Millis kSayEvery = 10'000;
-}
+constexpr Millis kLogInterval = 10'000;
+
+double in_seconds(Millis duration) { return static_cast<double>(duration) / 1000.0; }
+}  // namespace
 
 const char* name(ReadinessState state) {
     switch (state) {
@@ -28,53 +28,55 @@
     return "?";
 }
 
-ReadinessState Readiness::evaluate(bool types_known, const kvstore::ServiceHealth& health,
+ReadinessState Readiness::evaluate(bool machine_types_known, const kvstore::ServiceHealth& health,
                                    const std::vector<PeerHealth>& peers, Millis now) {
     peers_served_ = false;
-    if (!types_known) return ReadinessState::starting;
-    const bool refuses = health.refused_since >= 0;
-    const Millis since = refuses ? health.refused_since : health.unanswered_since;
-    if (since < 0 || now - since < readiness::kMinOutageDuration) return ReadinessState::serving;
-    const ReadinessState alone = refuses ? ReadinessState::rejected : ReadinessState::cut_off;
-    bool heard = false;
-    for (const PeerHealth& p : peers) {
-        heard |= now - p.last_status_at < readiness::kPeerStatusLifetime;
+    if (!machine_types_known) return ReadinessState::starting;
+    const bool rejected = health.refused_since >= 0;
+    const Millis unserved_since = rejected ? health.refused_since : health.unanswered_since;
+    if (unserved_since < 0 || now - unserved_since < kMinOutageDuration)
+        return ReadinessState::serving;
+    bool any_peer_heard = false;
+    for (const PeerHealth& peer : peers) {
+        any_peer_heard |= now - peer.last_status_at < kPeerStatusLifetime;
         peers_served_ |=
-            readiness::peer_served_meanwhile(since, p.last_answer_at, p.last_status_at, now);
+            peer_served_meanwhile(unserved_since, peer.last_answer_at, peer.last_status_at, now);
     }
-    if (peers_served_) return alone;
-    // Nobody is there to say that the outage is everybody's: it had better be taken for this
-    // node's.
-    return heard || peer_count_ == 0 ? ReadinessState::outage : alone;
+    const bool outage_for_all = !peers_served_ && (any_peer_heard || peer_count_ == 0);
+    if (outage_for_all) return ReadinessState::outage;
+    // Some peer is served; or no peer can be heard, and then the trouble is more likely to be this
+    // controller's own.
+    return rejected ? ReadinessState::rejected : ReadinessState::cut_off;
 }
 
-ReadinessState Readiness::update(bool types_known, const kvstore::ServiceHealth& health,
+ReadinessState Readiness::update(bool machine_types_known, const kvstore::ServiceHealth& health,
                                  const std::vector<PeerHealth>& peers,
-                                 const PendingRequests& waiting, Millis now) {
-    set_state(evaluate(types_known, health, peers, now), now);
-    if (state_ != ReadinessState::serving && now >= next_log_at_) {
-        next_log_at_ = now + kSayEvery;
-        const Millis oldest = waiting.requests == 0 ? 0 : now - waiting.since;
-        spdlog::warn(
-            "serves nothing for {:.1f} s ({}): waits for {}; {} requests wait, some for "
-            "{:.1f} s",
-            static_cast<double>(now - since_) / 1000.0, name(state_),
-            state_ == ReadinessState::starting ? "the machine types" : "the state service",
-            waiting.requests, static_cast<double>(oldest) / 1000.0);
-    }
+                                 const PendingRequests& pending, Millis now) {
+    set_state(evaluate(machine_types_known, health, peers, now), now);
+    log_if_due(pending, now);
     return state_;
 }
 
+void Readiness::log_if_due(const PendingRequests& pending, Millis now) {
+    if (state_ == ReadinessState::serving || now < next_log_at_) return;
+    next_log_at_ = now + kLogInterval;
+    const Millis oldest = pending.requests == 0 ? 0 : now - pending.since;
+    spdlog::warn("not serving: state={} duration_s={:.1f} waits_for={} pending={} oldest_s={:.1f}",
+                 name(state_), in_seconds(now - state_since_),
+                 state_ == ReadinessState::starting ? "machine_types" : "kvstore", pending.requests,
+                 in_seconds(oldest));
+}
+
 void Readiness::set_state(ReadinessState state, Millis now) {
     if (state == state_) return;
     if (state == ReadinessState::serving) {
-        spdlog::info("serves users again after {:.1f} s ({})",
-                     static_cast<double>(now - since_) / 1000.0, name(state_));
+        spdlog::info("serving again: previous_state={} duration_s={:.1f}", name(state_),
+                     in_seconds(now - state_since_));
     } else {
         next_log_at_ = now;
     }
-    // One kind of not serving may turn out to be another: since when stays.
-    if (state == ReadinessState::serving || state_ == ReadinessState::serving) since_ = now;
+    // From one reason not to serve to another the time without service goes on.
+    if (state == ReadinessState::serving || state_ == ReadinessState::serving) state_since_ = now;
     state_ = state;
 }
 
--- a/tests/confirmed_reads_test.cpp
+++ b/tests/confirmed_reads_test.cpp
@@ -174,45 +174,48 @@
     EXPECT_LE(store.reads - before, 4u);  // two reads, two lookups
 }
 
-// An outage that everybody has takes no controller out of service; a trouble of this one's alone
-// does, also when it has lost the other controllers and cannot hear that they are served.
+// An outage for all takes no controller out of service; one for this controller alone does, also
+// when it has lost its peers and cannot hear that they are served.
 TEST(Readiness, OnlyAControllerThatAloneIsRejectedHandsOver) {
     using readiness::ReadinessState;
     struct Case {
+        const char* description;
         kvstore::ServiceHealth health;
         std::vector<readiness::PeerHealth> peers;
         ReadinessState state;
         bool hands_over = false;
     };
     const Millis now = 100'000;
-    const kvstore::ServiceHealth well{}, refused{95'000, -1}, silent{-1, 95'000}, just{99'000, -1};
+    const kvstore::ServiceHealth healthy{}, rejecting{95'000, -1}, silent{-1, 95'000},
+        rejecting_lately{99'000, -1};
     const readiness::PeerHealth served{99'500, 99'000}, not_served{99'500, 94'000},
         lost{90'000, 89'000};
     const Case cases[] = {
-        {well, {served, served}, ReadinessState::serving},
-        {well, {lost, lost}, ReadinessState::serving},
-        {just, {lost, lost}, ReadinessState::serving},
-        {refused, {served, not_served}, ReadinessState::rejected, true},
-        {refused, {not_served, not_served}, ReadinessState::outage},
-        {refused, {not_served, lost}, ReadinessState::outage},
-        {refused, {lost, lost}, ReadinessState::rejected},
-        {refused, {}, ReadinessState::rejected},
-        {silent, {served, lost}, ReadinessState::cut_off},
-        {silent, {not_served, not_served}, ReadinessState::outage},
-        {silent, {lost, lost}, ReadinessState::cut_off},
+        {"healthy", healthy, {served, served}, ReadinessState::serving},
+        {"healthy alone", healthy, {lost, lost}, ReadinessState::serving},
+        {"too short an outage", rejecting_lately, {lost, lost}, ReadinessState::serving},
+        {"rejected alone", rejecting, {served, not_served}, ReadinessState::rejected, true},
+        {"all rejected", rejecting, {not_served, not_served}, ReadinessState::outage},
+        {"all heard rejected", rejecting, {not_served, lost}, ReadinessState::outage},
+        {"rejected, peers lost", rejecting, {lost, lost}, ReadinessState::rejected},
+        {"rejected, no status yet", rejecting, {}, ReadinessState::rejected},
+        {"unanswered alone", silent, {served, lost}, ReadinessState::cut_off},
+        {"all unanswered", silent, {not_served, not_served}, ReadinessState::outage},
+        {"unanswered, peers lost", silent, {lost, lost}, ReadinessState::cut_off},
     };
     for (const Case& c : cases) {
-        readiness::Readiness s(2, 0);
-        EXPECT_EQ(s.update(true, c.health, c.peers, {}, now), c.state);
+        SCOPED_TRACE(c.description);
+        readiness::Readiness monitored(2, 0);
+        EXPECT_EQ(monitored.update(true, c.health, c.peers, {}, now), c.state);
         // Cut off with its zone's machines, a leader goes on answering them: handing over at once
         // once cost 700 tasks their leases.
-        EXPECT_EQ(s.should_hand_over(), c.hands_over);
-        EXPECT_EQ(s.ready(),
+        EXPECT_EQ(monitored.should_hand_over(), c.hands_over);
+        EXPECT_EQ(monitored.ready(),
                   c.state == ReadinessState::serving || c.state == ReadinessState::outage);
     }
     readiness::Readiness alone(0, 0);  // the only controller that there is
-    EXPECT_EQ(alone.update(true, refused, {}, {}, now), ReadinessState::outage);
-    EXPECT_EQ(alone.update(false, well, {}, {}, now), ReadinessState::starting);
+    EXPECT_EQ(alone.update(true, rejecting, {}, {}, now), ReadinessState::outage);
+    EXPECT_EQ(alone.update(false, healthy, {}, {}, now), ReadinessState::starting);
     EXPECT_FALSE(alone.ready());
 }
 
