--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -5,8 +5,10 @@
 namespace nickelramp::admin {
 
 namespace {
-const prometheus::Histogram::BucketBoundaries kMs{1, 3, 10, 30, 100, 300, 1000, 3000};
-const prometheus::Histogram::BucketBoundaries kSeconds{0.3, 1, 3, 5, 10, 20, 40, 80, 180, 300, 600};
+const prometheus::Histogram::BucketBoundaries kMillisecondBuckets{1,   3,   10,   30,
+                                                                  100, 300, 1000, 3000};
+const prometheus::Histogram::BucketBoundaries kSecondBuckets{0.3, 1,  3,   5,   10, 20,
+                                                             40,  80, 180, 300, 600};
 }  // namespace
 
 Metrics::Metrics()
@@ -14,34 +16,34 @@
                    .Name("nickelramp_answers_total")
                    .Help("Answers to users, by request and status")
                    .Register(registry_)),
-      answer_ms_(prometheus::BuildHistogram()
-                     .Name("nickelramp_answer_ms")
-                     .Help("Time to answer users, in milliseconds")
-                     .Register(registry_)),
-      start_s_(prometheus::BuildHistogram()
-                   .Name("nickelramp_start_seconds")
-                   .Help("From a job's acceptance to a first attempt running")
-                   .Register(registry_)),
-      finish_s_(prometheus::BuildHistogram()
-                    .Name("nickelramp_finish_seconds")
-                    .Help("From a job's acceptance to its end")
-                    .Register(registry_)),
+      answer_duration_(prometheus::BuildHistogram()
+                           .Name("nickelramp_answer_ms")
+                           .Help("Time to answer users, in milliseconds")
+                           .Register(registry_)),
+      start_delay_(prometheus::BuildHistogram()
+                       .Name("nickelramp_start_seconds")
+                       .Help("From a job's acceptance to a first attempt running")
+                       .Register(registry_)),
+      finish_delay_(prometheus::BuildHistogram()
+                        .Name("nickelramp_finish_seconds")
+                        .Help("From a job's acceptance to its end")
+                        .Register(registry_)),
       gauges_(prometheus::BuildGauge()
                   .Name("nickelramp_now")
                   .Help("What the leader has: machines by state, jobs, tasks")
                   .Register(registry_)) {}
 
-void Metrics::record_answer(const char* request, int status, double ms) {
+void Metrics::record_answer(const char* request, int status, double milliseconds) {
     answers_.Add({{"request", request}, {"status", std::to_string(status)}}).Increment();
-    answer_ms_.Add({{"request", request}}, kMs).Observe(ms);
+    answer_duration_.Add({{"request", request}}, kMillisecondBuckets).Observe(milliseconds);
 }
 
 void Metrics::record_start(const std::string& job_class, double seconds) {
-    start_s_.Add({{"class", job_class}}, kSeconds).Observe(seconds);
+    start_delay_.Add({{"class", job_class}}, kSecondBuckets).Observe(seconds);
 }
 
 void Metrics::record_finish(const std::string& job_class, double seconds) {
-    finish_s_.Add({{"class", job_class}}, kSeconds).Observe(seconds);
+    finish_delay_.Add({{"class", job_class}}, kSecondBuckets).Observe(seconds);
 }
 
 void Metrics::set_gauge(const char* name, const std::string& label, double value) {
--- a/src/admin/options.cpp
+++ b/src/admin/options.cpp
@@ -6,6 +6,24 @@
 
 namespace nickelramp::admin {
 
+namespace {
+
+// Not a number for anything but numbers and booleans.
+double as_number(const wire::Json& value) {
+    if (value.is_boolean()) return value.get<bool>() ? 1 : 0;
+    return value.is_number() ? value.get<double>() : NAN;
+}
+
+std::optional<OptionErrorReason> check(const Option& option, double number) {
+    if (!std::isfinite(number)) return OptionErrorReason::not_a_number;
+    if (number < option.min || number > option.max) return OptionErrorReason::out_of_range;
+    if (option.whole_number && number != std::floor(number))
+        return OptionErrorReason::not_whole_number;
+    return std::nullopt;
+}
+
+}  // namespace
+
 const std::vector<Option>& all_options() {
     static const std::vector<Option> options = {
         {"lent_machines", &Options::delegated_machines, 0, 16, true},
@@ -25,36 +43,34 @@
     return nullptr;
 }
 
-bool set_option(Options& options, const Option& option, const wire::Json& value,
-                std::string& error) {
-    double v = value.is_boolean()  ? (value.get<bool>() ? 1 : 0)
-               : value.is_number() ? value.get<double>()
-                                   : NAN;
-    if (!std::isfinite(v) || v < option.min || v > option.max ||
-        (option.whole_number && v != std::floor(v))) {
-        error =
-            fmt::format("{} must be a {} from {} to {}", option.name,
-                        option.whole_number ? "whole number" : "number", option.min, option.max);
-        return false;
-    }
-    options.*option.member = v;
-    return true;
+std::string OptionError::message() const {
+    return fmt::format("{} must be a {} from {} to {}", option->name,
+                       option->whole_number ? "whole number" : "number", option->min, option->max);
+}
+
+std::optional<OptionError> set_option(Options& options, const Option& option,
+                                      const wire::Json& value) {
+    const double number = as_number(value);
+    if (const auto reason = check(option, number)) return OptionError{&option, *reason};
+    options.*option.member = number;
+    return std::nullopt;
 }
 
 wire::Json options_json(const Options& options) {
-    wire::Json out = wire::Json::object();
-    for (const Option& option : all_options()) out[option.name] = options.*option.member;
-    return out;
+    wire::Json record = wire::Json::object();
+    for (const Option& option : all_options()) record[option.name] = options.*option.member;
+    return record;
 }
 
 Options read_options(const wire::Json& record) {
-    Options out;
-    std::string error;
+    Options options;
     for (const Option& option : all_options()) {
-        if (const wire::Json* v = wire::field(record, option.name))
-            set_option(out, option, *v, error);
+        const wire::Json* value = wire::field(record, option.name);
+        if (value == nullptr) continue;
+        // A value that is not allowed leaves the default.
+        static_cast<void>(set_option(options, option, *value));
     }
-    return out;
+    return options;
 }
 
 }  // namespace nickelramp::admin
--- a/src/admin/request_handler.cpp
+++ b/src/admin/request_handler.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 #include "admin/json_response.h"
 
 namespace nickelramp::admin {
@@ -9,130 +11,188 @@
 using wire::Json;
 
 namespace {
-constexpr Millis kWait = 20'000;
-constexpr Millis kRetry = 2'000;
-constexpr Millis kCall = 2'000;
-const std::string kSettings = "/admin/settings";
+
+constexpr Millis kWatchDuration = 20'000;
+constexpr Millis kRetryInterval = 2'000;
+constexpr Millis kCallTimeout = 2'000;
+constexpr int kMaxWriteAttempts = 3;
+constexpr int kRetryAfterSeconds = 1;
+
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kMethodNotAllowed = 405;
+constexpr int kUnavailable = 503;
+
+constexpr const char* kKeyPrefix = "admin/";
+constexpr const char* kPathPrefix = "/admin/";
+constexpr const char* kStatusPath = "/admin/status";
+constexpr const char* kMetricsPath = "/admin/metrics";
+constexpr const char* kSettingsPath = "/admin/settings";
+constexpr const char* kSettingPrefix = "/admin/settings/";
+constexpr const char* kMetricsType = "text/plain; version=0.0.4";
+
+bool starts_with(const std::string& text, const std::string& prefix) {
+    return text.rfind(prefix, 0) == 0;
+}
+
+net::Response store_unavailable() { return {kUnavailable, "", kRetryAfterSeconds, kJsonType}; }
+
+net::Response bad_value(const Option& option, const std::string& message) {
+    return json(
+        kBadRequest,
+        {{"error", message}, {"field", "value"}, {"least", option.min}, {"most", option.max}});
+}
+
 }  // namespace
 
-AdminRequestHandler::AdminRequestHandler(uv_loop_t* loop, kvstore::Client& state, Metrics& metrics,
-                                         Hooks hooks, std::function<void(const Options&)> changed)
-    : state_(state),
+AdminRequestHandler::AdminRequestHandler(uv_loop_t* loop, kvstore::Client& store_client,
+                                         Metrics& metrics, Backend& backend)
+    : store_client_(store_client),
       metrics_(metrics),
-      hooks_(std::move(hooks)),
-      on_changed_(std::move(changed)),
-      retry_timer_(loop, [this] { read(); }) {}
+      backend_(backend),
+      retry_timer_(loop, [this] { read_options_record(); }) {}
+
+void AdminRequestHandler::start() { read_options_record(); }
 
-void AdminRequestHandler::start() { read(); }
+// --- requests
+
+bool AdminRequestHandler::handle(const net::Request& request, const net::Responder& responder) {
+    if (!starts_with(request.path, kPathPrefix)) return false;
+    if (starts_with(request.path, kSettingPrefix)) {
+        handle_option(request.path.substr(std::string(kSettingPrefix).size()), request, responder);
+    } else {
+        handle_page(request, responder);
+    }
+    return true;
+}
+
+void AdminRequestHandler::handle_page(const net::Request& request,
+                                      const net::Responder& responder) {
+    const std::string& path = request.path;
+    if (path != kStatusPath && path != kMetricsPath && path != kSettingsPath) {
+        responder.send(json(kNotFound, {{"error", "no such path"}}));
+    } else if (request.method != "GET") {
+        responder.send(json(kMethodNotAllowed, {{"error", "use GET"}}));
+    } else if (path == kStatusPath) {
+        responder.send(json(kOk, backend_.status()));
+    } else if (path == kMetricsPath) {
+        backend_.update_gauges();
+        responder.send({kOk, metrics_.text(), 0, kMetricsType});
+    } else {
+        responder.send(json(kOk, options_json(options_)));
+    }
+}
+
+void AdminRequestHandler::handle_option(const std::string& name, const net::Request& request,
+                                        const net::Responder& responder) {
+    const Option* option = find_option(name);
+    if (option == nullptr) {
+        responder.send(json(kNotFound, {{"error", "no such setting"}, {"setting", name}}));
+    } else if (request.method == "GET") {
+        responder.send(json(kOk, {{"value", options_.*option->member}}));
+    } else if (request.method == "PUT") {
+        handle_option_change(*option, request, responder);
+    } else {
+        responder.send(json(kMethodNotAllowed, {{"error", "use GET or PUT"}}));
+    }
+}
+
+void AdminRequestHandler::handle_option_change(const Option& option, const net::Request& request,
+                                               const net::Responder& responder) {
+    const Json body = Json::parse(request.body, nullptr, false);
+    const Json* value = wire::field(body, "value");
+    if (value == nullptr) {
+        responder.send(bad_value(option, "value is missing"));
+        return;
+    }
+    Options trial;
+    if (const auto error = set_option(trial, option, *value)) {
+        responder.send(bad_value(option, error->message()));
+        return;
+    }
+    write_option(option, *value, kMaxWriteAttempts, responder);
+}
+
+// --- the stored settings
 
 void AdminRequestHandler::apply_options(const Options& options) {
     options_ = options;
-    on_changed_(options_);
+    backend_.on_options_changed(options_);
 }
 
-void AdminRequestHandler::read() {
-    state_.list("admin/", kvstore::RequestClass::background,
-                [this](const kvstore::ListReply& reply) {
-                    if (reply.status != kvstore::Status::ok) {
-                        retry_timer_.after(kRetry);
-                        return;
-                    }
-                    Options found;
-                    for (const kvstore::Entry& entry : reply.entries) {
-                        if (entry.key == kOptionsKey) found = read_options(entry.value);
-                    }
-                    revision_ = reply.revision;
-                    apply_options(found);
-                    watch();
-                });
+void AdminRequestHandler::read_options_record() {
+    store_client_.list(kKeyPrefix, kvstore::RequestClass::background,
+                       [this](const kvstore::ListReply& reply) {
+                           if (reply.status != kvstore::Status::ok) {
+                               retry_timer_.after(kRetryInterval);
+                               return;
+                           }
+                           Options found;
+                           for (const kvstore::Entry& entry : reply.entries) {
+                               if (entry.key == kOptionsKey) found = read_options(entry.value);
+                           }
+                           revision_ = reply.revision;
+                           apply_options(found);
+                           watch_options_record();
+                       });
 }
 
-void AdminRequestHandler::watch() {
-    state_.watch("admin/", revision_, kWait, [this](const kvstore::ListReply& reply) {
-        if (reply.status != kvstore::Status::ok) {
-            retry_timer_.after(kRetry);
-            return;
-        }
-        revision_ = std::max(revision_, reply.revision);
-        for (const kvstore::Entry& entry : reply.entries) {
-            if (entry.key == kOptionsKey)
-                apply_options(entry.deleted ? Options{} : read_options(entry.value));
-        }
-        watch();
-    });
+void AdminRequestHandler::watch_options_record() {
+    store_client_.watch(
+        kKeyPrefix, revision_, kWatchDuration, [this](const kvstore::ListReply& reply) {
+            if (reply.status != kvstore::Status::ok) {
+                retry_timer_.after(kRetryInterval);
+                return;
+            }
+            revision_ = std::max(revision_, reply.revision);
+            for (const kvstore::Entry& entry : reply.entries) {
+                if (entry.key == kOptionsKey)
+                    apply_options(entry.deleted ? Options{} : read_options(entry.value));
+            }
+            watch_options_record();
+        });
 }
 
-bool AdminRequestHandler::handle(const net::Request& request, const net::Responder& responder) {
-    const std::string& path = request.path;
-    if (path.rfind("/admin/", 0) != 0) return false;
-    bool get = request.method == "GET";
-    if (path == "/admin/status" && get) {
-        responder.send(json(200, hooks_.status()));
-    } else if (path == "/admin/metrics" && get) {
-        hooks_.update_gauges();
-        responder.send({200, metrics_.text(), 0, "text/plain; version=0.0.4"});
-    } else if (path == kSettings && get) {
-        responder.send(json(200, options_json(options_)));
-    } else if (path.rfind(kSettings + "/", 0) == 0) {
-        std::string name = path.substr(kSettings.size() + 1);
-        const Option* option = find_option(name);
-        if (option == nullptr) {
-            responder.send(json(404, {{"error", "no such setting"}, {"setting", name}}));
-        } else if (get) {
-            responder.send(json(200, {{"value", options_.*option->member}}));
-        } else if (request.method != "PUT") {
-            responder.send(json(405, {{"error", "use GET or PUT"}}));
-        } else {
-            Json body = Json::parse(request.body, nullptr, false);
-            const Json* value = wire::field(body, "value");
-            Options trial;
-            std::string error = "value is missing";
-            if (value == nullptr || !set_option(trial, *option, *value, error)) {
-                responder.send(json(400, {{"error", error},
-                                          {"field", "value"},
-                                          {"least", option->min},
-                                          {"most", option->max}}));
+// Changes one setting and leaves the others as they are stored: reads the record, then writes it on
+// condition that it has not changed meanwhile.
+void AdminRequestHandler::write_option(const Option& option, const Json& value, int attempts_left,
+                                       const net::Responder& responder) {
+    store_client_.get(
+        kOptionsKey, kvstore::RequestClass::user, kCallTimeout,
+        [this, &option, value, attempts_left, responder](const kvstore::GetReply& stored) {
+            if (stored.status == kvstore::Status::ok || stored.status == kvstore::Status::missing) {
+                commit_option(stored, option, value, attempts_left, responder);
             } else {
-                write_option(*option, *value, 3, responder);
+                responder.send(store_unavailable());
             }
-        }
-    } else {
-        bool known = path == "/admin/status" || path == "/admin/metrics" || path == kSettings;
-        responder.send(json(known ? 405 : 404, {{"error", known ? "use GET" : "no such path"}}));
-    }
-    return true;
+        });
 }
 
-// Changes one setting and leaves the others as they are stored.
-void AdminRequestHandler::write_option(const Option& option, const Json& value, int tries,
-                                       net::Responder responder) {
-    state_.get(
-        kOptionsKey, kvstore::RequestClass::user, kCall,
-        [this, &option, value, tries, responder](const kvstore::GetReply& reply) {
-            bool found = reply.status == kvstore::Status::ok;
-            if (!found && reply.status != kvstore::Status::missing) {
-                responder.send({503, "", 1, "application/json"});
-                return;
+void AdminRequestHandler::commit_option(const kvstore::GetReply& stored, const Option& option,
+                                        const Json& value, int attempts_left,
+                                        const net::Responder& responder) {
+    const bool exists = stored.status == kvstore::Status::ok;
+    Options options = exists ? read_options(stored.entry.value) : Options{};
+    // Checked when the request came.
+    static_cast<void>(set_option(options, option, value));
+    kvstore::Transaction transaction;
+    transaction.conditions = {{kOptionsKey, exists ? stored.entry.version : 0}};
+    transaction.writes = {{kOptionsKey, options_json(options), 0}};
+    store_client_.commit(
+        transaction, kvstore::RequestClass::user, kCallTimeout,
+        [this, &option, value, attempts_left, responder,
+         options](const kvstore::CommitReply& reply) {
+            if (reply.status == kvstore::Status::ok) {
+                spdlog::info("setting changed: name={} value={}", option.name,
+                             options.*option.member);
+                apply_options(options);
+                responder.send(json(kOk, options_json(options)));
+            } else if (reply.status == kvstore::Status::conflict && attempts_left > 1) {
+                write_option(option, value, attempts_left - 1, responder);
+            } else {
+                responder.send(store_unavailable());
             }
-            Options next = found ? read_options(reply.entry.value) : Options{};
-            std::string error;
-            set_option(next, option, value, error);
-            kvstore::Transaction transaction;
-            transaction.conditions = {{kOptionsKey, found ? reply.entry.version : 0}};
-            transaction.writes = {{kOptionsKey, options_json(next), 0}};
-            state_.commit(
-                transaction, kvstore::RequestClass::user, kCall,
-                [this, &option, value, tries, responder, next](const kvstore::CommitReply& c) {
-                    if (c.status == kvstore::Status::ok) {
-                        spdlog::info("setting {} is now {}", option.name, next.*option.member);
-                        apply_options(next);
-                        responder.send(json(200, options_json(next)));
-                    } else if (c.status == kvstore::Status::conflict && tries > 1) {
-                        write_option(option, value, tries - 1, responder);
-                    } else {
-                        responder.send({503, "", 1, "application/json"});
-                    }
-                });
         });
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,143 +1,130 @@
-// One controller: sockets, clients and timers around the slices.
+/// \file
+/// One controller process: the composition of all its parts.
 #pragma once
 #include <uv.h>
 
-#include <map>
-#include <memory>
+#include <cstdint>
 #include <string>
-#include <unordered_map>
+#include <vector>
 
+#include "admin/metrics.h"
 #include "admin/request_handler.h"
 #include "api/confirmed_reads_driver.h"
 #include "api/job_request_handler.h"
 #include "cloud/cloud_client.h"
-#include "control/control_loop.h"
-#include "control/shard_holder.h"
 #include "controller/heartbeat_handler.h"
-#include "controller/live_service_gateway.h"
+#include "controller/instance_poller.h"
+#include "controller/leadership_monitor.h"
+#include "controller/loop_clock.h"
+#include "controller/machine_type_store.h"
+#include "controller/peer_coordinator.h"
+#include "controller/readiness_monitor.h"
+#include "controller/request_router.h"
+#include "controller/shard_holder_runner.h"
+#include "controller/term_runner.h"
 #include "controller/worker_connections.h"
 #include "election/election_driver.h"
 #include "kvstore/client.h"
 #include "net/http_server.h"
+#include "net/timer.h"
 #include "partition/partition_responder.h"
-#include "peers/peer_network.h"
-#include "readiness/readiness.h"
 #include "roles/role_manager.h"
 #include "wire/settings.h"
 
 namespace nickelramp::controller {
 
-// What is not served unless the command line asks for it.
+/// What is served only if the command line asks for it.
 struct FeatureFlags {
-    bool drain_plans = false;  // drain plans, /admin/plans
+    bool drain_plans = false;  ///< Drain plans, under `/admin/plans`.
 };
 
-class Controller : private HeartbeatHandler::Controller {
+/// Owns every part of the process, connects them, and runs the periodic tick. It decides nothing
+/// itself: each interface that it implements says what one part needs of the others. Created by
+/// `main`; everything runs on the loop's thread. Once started it serves until the process ends;
+/// services that do not answer are retried by the parts that need them.
+class Controller : private HeartbeatHandler::Environment,
+                   private MachineTypeStore::Listener,
+                   private TermRunner::Listener,
+                   private admin::AdminRequestHandler::Backend {
   public:
+    /// The loop and the settings must outlive the controller. Nothing is sent before `start`.
     Controller(uv_loop_t* loop, const wire::Settings& settings, const FeatureFlags& features);
 
-    // 0 or a libuv error.
-    int start();
+    /// Listens for requests and peers and begins to work. 0 or a libuv error; after an error the
+    /// controller is of no use.
+    [[nodiscard]] int start();
 
   private:
-    // idle:     does not lead
-    // loading:  elected, reading the records
-    // running:  the dispatcher decides
-    // closing:  the term is over; its book is put away at the next turn
-    enum class TermPhase { idle, loading, running, closing };
-    void set_term_phase(TermPhase b) { term_phase_ = b; }
-
-    void handle(const net::Request& request, net::Responder responder);
-
-    Millis clock_now() override;
-    control::ControlLoop* leader_control_loop() override;
-    std::uint64_t term() const override { return term_; }
-    bool may_renew_leases() const override;
+    // HeartbeatHandler::Environment
+    Millis updated_now() override { return clock_.updated_now(); }
+    control::ControlLoop* leader_control_loop() override { return term_.running_control_loop(); }
+    std::uint64_t term() const override { return term_.term(); }
+    bool may_renew_leases() const override { return term_.may_renew_leases(); }
     const std::string& elected_leader() const override { return election_.leader(); }
     bool responds_for_leader(Millis now) override;
     std::size_t open_sockets() const override {
         return http_server_.connections() + worker_connections_.size();
     }
     std::size_t worker_sockets() const override { return http_server_.worker_connections(); }
-    void update_readiness();
-
-    void on_elected(std::uint64_t term, std::uint64_t version);
-    void load_term();
-    void list_grants_and_intents(
-        std::function<void(const kvstore::ListReply&, const kvstore::ListReply&)> then);
-    void on_term_loaded();
-    void on_term_load_failed();
-    void end_term();
-    void watch_open_jobs();
-    void tick();
-    void poll_instances();
-    void poll_machine_types();
-    void store_machine_types();
-    void on_machine_types(const std::vector<wire::MachineType>& types, bool from_cloud);
-
-    // The back channel, and what this node holds for the leader.
-    void on_peer_status(const peers::Status& status);
-    void on_shard_grant(const peers::ShardGrant& grant);
-    void broadcast_status();
-    void update_shard_holder();
-    wire::Json status() const;
-    void update_gauges();
-    void update_heartbeat_gauges();
-    void send_shard_grants();
-    void send_heartbeat_delegations();
-    void on_cancellations_seen(Millis until);
 
-    Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
-    // Read at acts: what the loop knows of the time may be from before a freeze.
-    static Millis clock() { return static_cast<Millis>(uv_hrtime() / 1'000'000); }
-    std::int64_t wall_ms() const;
+    // MachineTypeStore::Listener
+    bool leads() const override { return term_.running(); }
+    void on_machine_types(const std::vector<wire::MachineType>& types) override;
+
+    // TermRunner::Listener
+    void on_term_starting() override;
+    void on_control_loop_created(control::ControlLoop& control_loop) override;
+    void on_term_loaded(control::ControlLoop& control_loop) override;
+    void on_term_started() override;
+    void on_term_ended() override { instance_poller_.stop(); }
+    void on_open_jobs_applied() override { peer_coordinator_.send_shard_grants(); }
+
+    // admin::AdminRequestHandler::Backend
+    wire::Json status() const override;
+    void update_gauges() override;
+    void on_options_changed(const admin::Options& options) override;
+
+    // Connections of the parts that take hooks.
+    api::JobRequestHandler::Hooks job_request_hooks();
+    election::Election::Hooks election_hooks();
     roles::RoleManager::Hooks role_manager_hooks();
-    lease::Lease leader_lease() const;
-    template <typename Message>
-    bool send_as_leader(const std::string& peer, const Message& message);
+    LiveServiceGateway::Services gateway_services();
+    TermRunner::Dependencies term_dependencies();
+    PeerCoordinator::Dependencies peer_dependencies();
+    RequestRouter::Dependencies router_dependencies();
+
+    bool find_progress(const std::string& job_id, std::uint64_t& done,
+                       std::uint64_t& running) const;
+    void tick();
+    void run_leader_tick(control::ControlLoop& control_loop);
+    void step_down(StepDownReason reason);
+    void prune_worker_connections(const control::ControlLoop& control_loop);
+    [[nodiscard]] const char* store_health_text() const;
 
-    uv_loop_t* loop_;
     const wire::Settings& settings_;
     const FeatureFlags features_;
+    const LoopClock clock_;
     admin::Metrics metrics_;
     net::HttpServer http_server_;
-    kvstore::Client state_client_;
+    kvstore::Client store_client_;
     cloud::CloudClient cloud_client_;
     WorkerConnections worker_connections_;
     api::ConfirmedReadsDriver confirmed_reads_;
     api::JobRequestHandler job_requests_;
     election::ElectionDriver election_;
-    net::Timer tick_timer_, instances_timer_, types_timer_, load_timer_, close_timer_, watch_timer_;
-
-    std::vector<wire::MachineType> machine_types_;
-    bool machine_types_stored_ = false;
-
-    TermPhase term_phase_ = TermPhase::idle;
-    std::unique_ptr<control::ControlLoop> control_loop_;
-    std::uint64_t generation_ = 0;  // of terms; late answers of an earlier one are dropped
-    std::uint64_t term_ = 0, term_version_ = 0;
-    std::uint64_t open_revision_ = 0;
-    Millis cancellations_known_until_ = 0;  // every cancellation up to then is known
-    Millis watch_lost_since_ = 0;
-    lease::LeaseGuard<lease::Scheduling> leader_scheduling_guard_,
-        holder_scheduling_guard_;  // as leader, as holder
-    lease::LeaseGuard<lease::Responding> leader_responding_guard_,
-        holder_responding_guard_;  // likewise
-    LiveServiceGateway leader_gateway_, holder_gateway_;
-    readiness::Readiness readiness_;
-    peers::PeerNetwork peer_network_;
-    std::map<std::string, readiness::PeerHealth> peer_health_;
-    std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
-        displayed_progress_;  // done, running: for display
-    Millis next_status_at_ = 0;
-    control::ShardHolder shard_holder_;
+    MachineTypeStore machine_types_;
+    TermRunner term_;
+    ShardHolderRunner shard_holder_;
+    InstancePoller instance_poller_;
+    LeadershipMonitor leadership_monitor_;
+    ReadinessMonitor readiness_;
     partition::PartitionResponder partition_responder_;
     HeartbeatHandler heartbeat_handler_;
-    Millis leader_status_at_ = 0;
-    std::map<std::string, Millis> lost_zones_;  // since when, as the leader last said
     roles::RoleManager role_manager_;
-    net::Timer dispose_timer_;
+    PeerCoordinator peer_coordinator_;
     admin::AdminRequestHandler admin_requests_;
+    RequestRouter router_;
+    net::Timer tick_timer_;
     Millis next_prune_at_ = 0;
 };
 
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -1,5 +1,7 @@
 #include "controller/heartbeat_handler.h"
 
+#include <utility>
+
 #include "readiness/peer_health.h"
 #include "relay/responder_tag.h"
 
@@ -11,18 +13,23 @@
 
 namespace {
 constexpr const char* kCbor = "application/cbor";
-constexpr int kOk = 200, kBadRequest = 400, kMisdirected = 421, kUnavailable = 503;
-constexpr int kRetryAfterS = 1;
-// Machines are rented up to the room of all controllers, and do not spread evenly.
-constexpr double kOverbooked = 1.1;
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kMisdirected = 421;
+constexpr int kUnavailable = 503;
+constexpr int kRetryAfterSeconds = 1;
+// Machines are provisioned up to the capacity of all controllers and do not spread evenly.
+constexpr double kMaxOverbooking = 1.1;
+
+HeartbeatReply unavailable() { return {kUnavailable, "", 0, {}}; }
 }  // namespace
 
-HeartbeatHandler::HeartbeatHandler(const wire::Settings& settings, Controller& controller,
+HeartbeatHandler::HeartbeatHandler(const wire::Settings& settings, Environment& environment,
                                    control::ShardHolder& shard_holder,
                                    partition::PartitionResponder& partition_responder,
                                    relay::HeartbeatForwarder::Send send)
     : settings_(settings),
-      controller_(controller),
+      environment_(environment),
       shard_holder_(shard_holder),
       partition_responder_(partition_responder),
       send_(std::move(send)),
@@ -31,101 +38,119 @@
 
 void HeartbeatHandler::on_heartbeat_request(const net::Request& request,
                                             const net::Responder& responder) {
-    // An answer gives a lease: its time must not be from before a freeze.
-    const Millis now = controller_.clock_now();
-    auto body = wire::decode_map(request.body);
-    const auto report = body ? wire::decode_heartbeat(*body) : std::nullopt;
-    if (!report) {
+    // A reply renews a lease: its time must not be from before the process was suspended.
+    const Millis now = environment_.updated_now();
+    const auto body = wire::decode_map(request.body);
+    const auto heartbeat = body ? wire::decode_heartbeat(*body) : std::nullopt;
+    if (!heartbeat) {
         responder.send({kBadRequest, "", 0, kCbor});
         return;
     }
-    if (!shard_holder_.holds(report->machine)) {
-        update_load(now);
-        const std::uint64_t term = served_term(now);
-        // It is moved only when it has been answered here: if nobody answers there, its lease
-        // lasts.
-        if (!request.follows_ok_reply) balancer_.on_worker_arrived(report->machine, now);
-        const std::string better = term == 0 || !request.follows_ok_reply
-                                       ? ""
-                                       : balancer_.better_controller(*report, term, now);
+    if (!shard_holder_.holds(heartbeat->machine) && turn_away(*heartbeat, request, responder, now))
+        return;
+    const auto answer = reply_locally(*heartbeat, request, now);
+    if (!answer) {
+        forward_to_leader(*heartbeat, request.followed_reply_tag, responder, now);
+        return;
+    }
+    if (answer->reply.status == kMisdirected && answer->reply.holder.empty()) {
+        redirect_to_leader(responder, now);
+        return;
+    }
+    respond(responder, *answer);
+}
+
+bool HeartbeatHandler::turn_away(const wire::Heartbeat& heartbeat, const net::Request& request,
+                                 const net::Responder& responder, Millis now) {
+    update_load(now);
+    const std::uint64_t term = served_term(now);
+    // A worker is redirected only after it has been answered here: if nobody answers it at the
+    // other controller, its lease lasts for a while.
+    if (!request.follows_ok_reply) {
+        balancer_.on_worker_arrived(heartbeat.machine, now);
+    } else if (term != 0) {
+        const std::string better = balancer_.better_controller(heartbeat, term, now);
         if (!better.empty()) {
             responder.send({kMisdirected, wire::encode_redirect(better), 0, kCbor});
-            return;
-        }
-        // Users have to find a socket too: what is more goes on to the next controller.
-        const bool comes = responder.classify(net::PeerKind::worker);
-        if (comes && controller_.worker_sockets() > balancer_.own_worker_capacity() * kOverbooked) {
-            net::Response full{kUnavailable, "", kRetryAfterS, kCbor};
-            full.close = true;
-            responder.send(full);
-            return;
+            return true;
         }
     }
-    if (auto answered = reply_locally(*report, request, now)) {
-        const HeartbeatReply& reply = answered->reply;
-        if (reply.status == kMisdirected && reply.holder.empty()) return redirect(responder, now);
-        respond(responder, *answered);
-        return;
-    }
-    forward_to_leader(*report, request.followed_reply_tag, responder, now);
+    // Users need sockets too: a worker beyond the capacity tries the next controller.
+    const bool is_new = responder.classify(net::PeerKind::worker);
+    const double max_workers =
+        static_cast<double>(balancer_.own_worker_capacity()) * kMaxOverbooking;
+    if (!is_new || static_cast<double>(environment_.worker_sockets()) <= max_workers) return false;
+    net::Response full{kUnavailable, "", kRetryAfterSeconds, kCbor};
+    full.close = true;
+    responder.send(full);
+    return true;
 }
 
 std::optional<HeartbeatHandler::LocalReply> HeartbeatHandler::reply_locally(
     const wire::Heartbeat& heartbeat, const net::Request& request, Millis now) {
     if (shard_holder_.holds(heartbeat.machine)) {
         const std::uint64_t tag = responder_tag(Responder::holder, shard_holder_.token());
-        return LocalReply{
-            shard_holder_.on_heartbeat(heartbeat, request.followed_reply_tag == tag, now), tag};
-    }
-    if (control::ControlLoop* control_loop = controller_.leader_control_loop()) {
-        // Whoever cannot know of a cancellation must let the leases run out in time.
-        if (!controller_.may_renew_leases()) return LocalReply{{kUnavailable, "", 0, {}}, 0};
-        const std::uint64_t tag = responder_tag(Responder::leader, controller_.term());
-        return LocalReply{
-            control_loop->on_heartbeat(heartbeat, request.followed_reply_tag == tag, now), tag};
+        const bool follows = request.followed_reply_tag == tag;
+        return LocalReply{shard_holder_.on_heartbeat(heartbeat, follows, now), tag};
     }
-    if (!controller_.responds_for_leader(now)) return std::nullopt;
+    control::ControlLoop* control_loop = environment_.leader_control_loop();
+    if (control_loop == nullptr) return reply_for_leader(heartbeat, request, now);
+    // A leader that may not know of a cancellation must let the leases expire in time.
+    if (!environment_.may_renew_leases()) return LocalReply{unavailable(), 0};
+    const std::uint64_t tag = responder_tag(Responder::leader, environment_.term());
+    const bool follows = request.followed_reply_tag == tag;
+    return LocalReply{control_loop->on_heartbeat(heartbeat, follows, now), tag};
+}
+
+// As partition responder.
+std::optional<HeartbeatHandler::LocalReply> HeartbeatHandler::reply_for_leader(
+    const wire::Heartbeat& heartbeat, const net::Request& request, Millis now) {
+    if (!environment_.responds_for_leader(now)) return std::nullopt;
     const std::uint64_t tag = responder_tag(Responder::deputy, partition_responder_.term());
-    const auto token =
-        partition_responder_.token_for_reply(heartbeat, request.followed_reply_tag == tag, now);
+    const bool follows = request.followed_reply_tag == tag;
+    const auto token = partition_responder_.token_for_reply(heartbeat, follows, now);
     if (!token) return std::nullopt;
     return LocalReply{{kOk, "", *token, {}}, tag};
 }
 
 void HeartbeatHandler::forward_to_leader(const wire::Heartbeat& heartbeat,
-                                         std::uint64_t follows_tag, const net::Responder& responder,
-                                         Millis now) {
+                                         std::uint64_t followed_tag,
+                                         const net::Responder& responder, Millis now) {
     const std::uint64_t term = forwarder_.reachable_term(now);
-    const bool follows = term != 0 && follows_tag == responder_tag(Responder::leader, term);
-    auto pass_on = [this, responder](const HeartbeatReply& reply, std::uint64_t of_term) {
-        LocalReply answered{reply, responder_tag(Responder::leader, of_term)};
-        // A block is on its way here: the worker is to ask again, not to go in a circle.
-        if (reply.holder == settings_.name) answered.reply = {kUnavailable, "", 0, {}};
-        respond(responder, answered);
+    const bool follows = term != 0 && followed_tag == responder_tag(Responder::leader, term);
+    auto pass_on = [this, responder](const HeartbeatReply& reply, std::uint64_t reply_term) {
+        LocalReply answer{reply, responder_tag(Responder::leader, reply_term)};
+        // The shard is being leased to this controller: a redirect to it would send the worker in
+        // a circle. It is to try again.
+        if (reply.holder == settings_.name) answer.reply = unavailable();
+        respond(responder, answer);
     };
     if (forwarder_.forward(heartbeat, follows ? term : 0, pass_on, now)) return;
-    redirect(responder, now);
-}
-
-// The leader may be reached by workers though its peers do not reach it, and earlier versions
-// forward nothing. It is not named where it has said that it cannot answer.
-void HeartbeatHandler::redirect(const net::Responder& responder, Millis now) const {
-    const std::string& leader = controller_.elected_leader();
-    auto heard = peer_leadership_.find(leader);
-    const bool says_no = heard != peer_leadership_.end() && !heard->second.leads &&
-                         now - heard->second.last_status_at < readiness::kPeerStatusLifetime;
-    if (leader.empty() || leader == settings_.name || says_no) {
-        responder.send({kUnavailable, "", kRetryAfterS, kCbor});
+    redirect_to_leader(responder, now);
+}
+
+// Workers may reach the leader though its peers do not, and earlier versions forward nothing. The
+// leader is not named if it has said lately that it does not lead.
+void HeartbeatHandler::redirect_to_leader(const net::Responder& responder, Millis now) const {
+    const std::string& leader = environment_.elected_leader();
+    if (leader.empty() || leader == settings_.name || denies_leadership(leader, now)) {
+        responder.send({kUnavailable, "", kRetryAfterSeconds, kCbor});
     } else {
         responder.send({kMisdirected, wire::encode_redirect(leader), 0, kCbor});
     }
 }
 
-void HeartbeatHandler::respond(const net::Responder& responder, const LocalReply& answered) {
-    const HeartbeatReply& reply = answered.reply;
+bool HeartbeatHandler::denies_leadership(const std::string& peer, Millis now) const {
+    const auto found = peer_leadership_.find(peer);
+    return found != peer_leadership_.end() && !found->second.leads &&
+           now - found->second.last_status_at < readiness::kPeerStatusLifetime;
+}
+
+void HeartbeatHandler::respond(const net::Responder& responder, const LocalReply& answer) {
+    const HeartbeatReply& reply = answer.reply;
     if (reply.status == kOk) {
-        responder.send({kOk, wire::encode_heartbeat_reply(reply.token, reply.commands), 0, kCbor,
-                        answered.tag});
+        responder.send(
+            {kOk, wire::encode_heartbeat_reply(reply.token, reply.commands), 0, kCbor, answer.tag});
     } else if (reply.status == kMisdirected) {
         responder.send({kMisdirected, wire::encode_redirect(reply.holder), 0, kCbor});
     } else {
@@ -134,13 +159,13 @@
 }
 
 void HeartbeatHandler::on_forwarded_heartbeat(const peers::ForwardedHeartbeat& forwarded) {
-    const Millis now = controller_.clock_now();
-    control::ControlLoop* control_loop = controller_.leader_control_loop();
-    const std::uint64_t term = control_loop != nullptr ? controller_.term() : 0;
+    const Millis now = environment_.updated_now();
+    control::ControlLoop* control_loop = environment_.leader_control_loop();
+    const std::uint64_t term = control_loop != nullptr ? environment_.term() : 0;
     const auto arrival = admission_.admit(forwarded, term, shard_holder_.incarnation(), now);
     if (!arrival) return;
-    HeartbeatReply reply{kUnavailable, "", 0, {}};
-    if (controller_.may_renew_leases())
+    HeartbeatReply reply = unavailable();
+    if (environment_.may_renew_leases())
         reply = control_loop->on_heartbeat(forwarded.heartbeat, *arrival, now);
     peers::ForwardedReply message;
     message.from = settings_.name;
@@ -154,8 +179,8 @@
     send_(forwarded.from, peers::encode(message));
 }
 
-void HeartbeatHandler::on_forwarded_reply(const peers::ForwardedReply& answer) {
-    forwarder_.on_reply(answer, controller_.clock_now());
+void HeartbeatHandler::on_forwarded_reply(const peers::ForwardedReply& reply) {
+    forwarder_.on_reply(reply, environment_.updated_now());
 }
 
 void HeartbeatHandler::on_peer_status(const peers::Status& status, Millis now) {
@@ -170,8 +195,8 @@
 }
 
 void HeartbeatHandler::update_load(Millis now) {
-    balancer_.set_own_load(controller_.open_sockets(), controller_.worker_sockets(),
-                           controller_.leader_control_loop() != nullptr, now);
+    balancer_.set_own_load(environment_.open_sockets(), environment_.worker_sockets(),
+                           environment_.leader_control_loop() != nullptr, now);
 }
 
 machines::WorkerCapacity HeartbeatHandler::worker_capacity(Millis now) {
@@ -179,14 +204,14 @@
 }
 
 std::uint64_t HeartbeatHandler::served_term(Millis now) const {
-    if (controller_.leader_control_loop() != nullptr) return controller_.term();
+    if (environment_.leader_control_loop() != nullptr) return environment_.term();
     return forwarder_.reachable_term(now);
 }
 
 void HeartbeatHandler::fill_status(peers::Status& status, Millis now) const {
     status.heartbeat_term = served_term(now);
-    status.sockets = controller_.open_sockets();
-    status.worker_sockets = controller_.worker_sockets();
+    status.sockets = environment_.open_sockets();
+    status.worker_sockets = environment_.worker_sockets();
     status.max_sockets = settings_.max_sockets;
 }
 
--- /dev/null
+++ b/src/controller/instance_poller.h
@@ -0,0 +1,40 @@
+/// \file
+/// Lists the cloud's instances for the leader, again and again while its term runs.
+#pragma once
+#include <cstdint>
+
+#include "cloud/cloud_client.h"
+#include "control/control_loop.h"
+#include "controller/loop_clock.h"
+#include "net/timer.h"
+#include "wire/settings.h"
+
+namespace nickelramp::controller {
+
+/// Hands each complete list of instances to the control loop of the running term. The interval
+/// grows with the number of instances, so that lists leave most of the cloud's request budget to
+/// provisioning. A failed list is repeated after the shortest interval. Lists that are answered
+/// after `stop` are dropped. Runs on the loop's thread.
+class InstancePoller {
+  public:
+    InstancePoller(const wire::Settings& settings, const LoopClock& clock,
+                   cloud::CloudClient& cloud_client);
+
+    /// Begins to poll at once. `control_loop` must live until `stop`.
+    void start(control::ControlLoop& control_loop);
+    /// Called when the term ends, before its control loop is destroyed.
+    void stop();
+
+  private:
+    void poll();
+    [[nodiscard]] Millis interval_after(std::size_t instances) const;
+
+    const wire::Settings& settings_;
+    const LoopClock& clock_;
+    cloud::CloudClient& cloud_client_;
+    net::Timer timer_;
+    control::ControlLoop* control_loop_ = nullptr;  // null: stopped
+    std::uint64_t generation_ = 0;  // of starts; late replies of earlier ones are dropped
+};
+
+}  // namespace nickelramp::controller
--- a/src/controller/live_service_gateway.cpp
+++ b/src/controller/live_service_gateway.cpp
@@ -1,6 +1,7 @@
 #include "controller/live_service_gateway.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "net/timed.h"
 #include "wire/messages.h"
@@ -8,20 +9,29 @@
 namespace nickelramp::controller {
 
 namespace {
-constexpr Millis kCallWait = 2'500;
+constexpr Millis kCallTimeout = 2'500;
 }
 
+LiveServiceGateway::LiveServiceGateway(Services services,
+                                       const lease::LeaseGuard<lease::Scheduling>& scheduling_guard,
+                                       const lease::LeaseGuard<lease::Responding>& responding_guard,
+                                       OnDeposed on_deposed)
+    : services_(services),
+      scheduling_guard_(scheduling_guard),
+      responding_guard_(responding_guard),
+      on_deposed_(std::move(on_deposed)) {}
+
 void LiveServiceGateway::commit(kvstore::Transaction transaction,
                                 std::function<void(Millis, const kvstore::CommitReply&)> done) {
-    const kvstore::RequestClass urgency = transaction.request_class;
-    services_.state.commit(transaction, urgency, kCallWait,
+    const kvstore::RequestClass request_class = transaction.request_class;
+    services_.state.commit(transaction, request_class, kCallTimeout,
                            net::with_time(services_.loop, std::move(done)),
                            while_valid(scheduling_guard_));
 }
 
 void LiveServiceGateway::read(const std::string& key,
                               std::function<void(Millis, const kvstore::GetReply&)> done) {
-    services_.state.get(key, kvstore::RequestClass::background, kCallWait,
+    services_.state.get(key, kvstore::RequestClass::background, kCallTimeout,
                         net::with_time(services_.loop, std::move(done)));
 }
 
@@ -35,11 +45,12 @@
     const std::string& machine, const std::string& address, std::uint64_t token,
     std::uint64_t session, const std::vector<wire::Command>& commands,
     std::function<void(Millis, const cluster::CommandReply&)> done) {
-    const bool starts = std::any_of(commands.begin(), commands.end(),
-                                    [](const auto& c) { return c.op == wire::Command::Op::start; });
+    const bool starts_tasks = std::any_of(
+        commands.begin(), commands.end(),
+        [](const wire::Command& command) { return command.op == wire::Command::Op::start; });
     services_.worker_connections.send_command(
         machine, address, wire::encode_direct_commands(token, session, commands), std::move(done),
-        starts ? while_valid(scheduling_guard_) : while_valid(responding_guard_));
+        starts_tasks ? while_valid(scheduling_guard_) : while_valid(responding_guard_));
 }
 
 void LiveServiceGateway::provision_machines(
@@ -52,8 +63,8 @@
                                           std::function<void(Millis, bool)> done) {
     services_.role_manager.release(
         machines,
-        [done = std::move(done)](Millis t, const cloud::ProvisionReply& reply) {
-            done(t, reply.result == cloud::ProvisionReply::Result::provisioned);
+        [done = std::move(done)](Millis replied_at, const cloud::ProvisionReply& reply) {
+            done(replied_at, reply.result == cloud::ProvisionReply::Result::provisioned);
         },
         now());
 }
--- a/src/controller/live_service_gateway.h
+++ b/src/controller/live_service_gateway.h
@@ -1,11 +1,10 @@
-// What a term's book asks of the world: the state service, machines and the cloud, each under the
-// right that it needs. The leader has one, and whoever holds a block another.
+/// \file
+/// The gateway of a control loop to the real services: key-value store, workers and cloud.
 #pragma once
 #include <uv.h>
 
 #include <functional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "cluster/service_gateway.h"
@@ -16,27 +15,35 @@
 
 namespace nickelramp::controller {
 
-// Asked when the bytes go out: does the right that lasted when this was asked for still last?
+/// A check to be made as the bytes of a request go out, however long it was queued: does the lease
+/// that lasted when this function was called still last? If none lasted then, the check is always
+/// false.
 template <typename For>
-net::HttpClient::MaySend while_valid(const lease::LeaseGuard<For>& gate) {
-    return [permit = gate.prove()] { return permit && permit->is_valid(); };
+net::HttpClient::MaySend while_valid(const lease::LeaseGuard<For>& guard) {
+    return [proof = guard.prove()] { return proof && proof->is_valid(); };
 }
 
+/// Sends what a control loop asks for, each call under the lease that it needs: transactions and
+/// commands that start tasks under the scheduling lease, all other commands under the responding
+/// lease, requests to the cloud through the role manager. What the lease no longer covers is not
+/// sent; its callback is then called with an outcome that says so. The leader has one gateway, a
+/// shard holder another. Runs on the loop's thread.
 class LiveServiceGateway : public cluster::ServiceGateway {
   public:
+    /// The services; all must outlive the gateway.
     struct Services {
         uv_loop_t* loop;
         kvstore::Client& state;
         WorkerConnections& worker_connections;
         roles::RoleManager& role_manager;
     };
-    LiveServiceGateway(Services services, const lease::LeaseGuard<lease::Scheduling>& deciding,
-                       const lease::LeaseGuard<lease::Responding>& answering,
-                       std::function<void(const std::string&)> deposed)
-        : services_(services),
-          scheduling_guard_(deciding),
-          responding_guard_(answering),
-          on_deposed_(std::move(deposed)) {}
+    /// Called with a reason for the log when a transaction shows that somebody else leads.
+    using OnDeposed = std::function<void(const std::string& reason)>;
+
+    LiveServiceGateway(Services services,
+                       const lease::LeaseGuard<lease::Scheduling>& scheduling_guard,
+                       const lease::LeaseGuard<lease::Responding>& responding_guard,
+                       OnDeposed on_deposed);
 
     void commit(kvstore::Transaction transaction,
                 std::function<void(Millis, const kvstore::CommitReply&)> done) override;
@@ -59,12 +66,12 @@
     void on_deposed(const std::string& why) override { on_deposed_(why); }
 
   private:
-    Millis now() const { return static_cast<Millis>(uv_now(services_.loop)); }
+    [[nodiscard]] Millis now() const { return static_cast<Millis>(uv_now(services_.loop)); }
 
     const Services services_;
     const lease::LeaseGuard<lease::Scheduling>& scheduling_guard_;
     const lease::LeaseGuard<lease::Responding>& responding_guard_;
-    std::function<void(const std::string&)> on_deposed_;
+    const OnDeposed on_deposed_;
 };
 
 }  // namespace nickelramp::controller
--- /dev/null
+++ b/src/controller/peer_coordinator.cpp
@@ -0,0 +1,167 @@
+#include "controller/peer_coordinator.h"
+
+#include "net/address.h"
+
+namespace nickelramp::controller {
+
+namespace {
+
+constexpr Millis kBroadcastInterval = 1'000;
+constexpr std::size_t kMaxDisplayedJobs = 1'000;
+
+void add_progress(const control::ControlLoop& control_loop, peers::Status& status) {
+    for (const auto& [job_id, job] : control_loop.open_jobs()) {
+        if (status.progress.size() >= kMaxDisplayedJobs) break;
+        const auto progress = control_loop.progress(job_id);
+        if (progress.done + progress.running > 0)
+            status.progress.push_back({job_id, progress.done, progress.running});
+    }
+}
+
+}  // namespace
+
+PeerCoordinator::PeerCoordinator(const Dependencies& dependencies)
+    : parts_(dependencies),
+      network_(dependencies.clock.loop(), dependencies.settings.peers, network_hooks()) {}
+
+int PeerCoordinator::listen() {
+    return network_.listen(*net::parse_address(parts_.settings.peer_listen));
+}
+
+peers::PeerNetwork::Hooks PeerCoordinator::network_hooks() {
+    return {
+        [this](const peers::Status& status) { on_status(status); },
+        [this](const peers::ShardGrant& grant) { on_shard_grant(grant); },
+        [this](const peers::ShardStatus& status) { on_shard_status(status); },
+        [this](const peers::HeartbeatDelegation& delegation) {
+            on_heartbeat_delegation(delegation);
+        },
+        [this](const peers::RoleAssignment& assignment) {
+            parts_.role_manager.on_assignment(assignment, parts_.clock.now());
+        },
+        [this](const peers::DelegatedRequest& request) {
+            parts_.role_manager.on_delegated_request(request, parts_.clock.now());
+        },
+        [this](const peers::DelegatedResult& result) {
+            parts_.role_manager.on_delegated_result(result, parts_.clock.now());
+        },
+        [this](const peers::ForwardedHeartbeat& heartbeat) {
+            parts_.heartbeat_handler.on_forwarded_heartbeat(heartbeat);
+        },
+        [this](const peers::ForwardedReply& reply) {
+            parts_.heartbeat_handler.on_forwarded_reply(reply);
+        },
+    };
+}
+
+void PeerCoordinator::on_status(const peers::Status& status) {
+    const Millis now = parts_.clock.now();
+    parts_.role_manager.on_status(status, now);
+    parts_.heartbeat_handler.on_peer_status(status, now);
+    parts_.readiness.on_peer_status(status);
+    if (control::ControlLoop* control_loop = parts_.term.running_control_loop()) {
+        control_loop->on_peer_status(status, now);
+        displayed_counts_.clear();
+    } else if (status.term != 0) {
+        on_leader_status(status);
+    }
+}
+
+void PeerCoordinator::on_leader_status(const peers::Status& status) {
+    const Millis now = parts_.clock.now();
+    leader_seen_at_ = now;
+    lost_zones_.clear();
+    for (const auto& lost : status.lost_zones)
+        lost_zones_[lost.zone] = now - static_cast<Millis>(lost.age_ms);
+    displayed_counts_.clear();
+    for (const auto& job : status.progress) displayed_counts_[job.id] = {job.done, job.running};
+}
+
+void PeerCoordinator::on_shard_grant(const peers::ShardGrant& grant) {
+    if (parts_.term.running()) return;
+    parts_.shard_holder.on_grant(grant, parts_.machine_types.types());
+}
+
+void PeerCoordinator::on_shard_status(const peers::ShardStatus& status) {
+    if (control::ControlLoop* control_loop = parts_.term.running_control_loop())
+        control_loop->on_shard_status(status, parts_.clock.now());
+}
+
+void PeerCoordinator::on_heartbeat_delegation(const peers::HeartbeatDelegation& delegation) {
+    const Millis now = parts_.clock.now();
+    leader_seen_at_ = now;
+    parts_.partition_responder.on_delegation(delegation, parts_.shard_holder.holder().incarnation(),
+                                             now);
+}
+
+void PeerCoordinator::broadcast_if_due() {
+    const Millis now = parts_.clock.now();
+    if (now < next_broadcast_at_) return;
+    next_broadcast_at_ = now + kBroadcastInterval;
+    broadcast();
+}
+
+void PeerCoordinator::broadcast() {
+    network_.send_all(peers::encode(make_status()));
+    if (parts_.term.running()) {
+        send_shard_grants();
+        send_heartbeat_delegations();
+        parts_.role_manager.send_assignment(parts_.clock.now());
+    }
+    const control::ShardHolder& holder = parts_.shard_holder.holder();
+    if (const auto status = holder.status()) network_.send(holder.leader(), peers::encode(*status));
+}
+
+peers::Status PeerCoordinator::make_status() const {
+    const Millis now = parts_.clock.now();
+    const control::ControlLoop* control_loop = parts_.term.running_control_loop();
+    peers::Status status;
+    status.from = parts_.settings.name;
+    status.incarnation = parts_.shard_holder.holder().incarnation();
+    status.clock_ms = static_cast<std::uint64_t>(now);
+    status.term = control_loop != nullptr ? parts_.term.term() : 0;
+    status.state_age_ms = static_cast<std::uint64_t>(now - parts_.store_client.last_answer_at());
+    parts_.partition_responder.fill_status(status, now);
+    parts_.role_manager.fill_status(status, now);
+    parts_.heartbeat_handler.fill_status(status, now);
+    if (control_loop != nullptr) {
+        status.lost_zones = control_loop->lost_zones(now);
+        add_progress(*control_loop, status);
+    }
+    return status;
+}
+
+void PeerCoordinator::send_shard_grants() {
+    control::ControlLoop* control_loop = parts_.term.running_control_loop();
+    if (control_loop == nullptr) return;
+    for (const auto& [peer, grant] :
+         control_loop->shard_renewals(parts_.term.cancellations_known_until(), parts_.clock.now()))
+        send_as_leader(peer, peers::encode(grant));
+}
+
+void PeerCoordinator::send_heartbeat_delegations() {
+    control::ControlLoop* control_loop = parts_.term.running_control_loop();
+    if (control_loop == nullptr) return;
+    for (const auto& [peer, delegation] : control_loop->heartbeat_delegations(
+             parts_.term.cancellations_known_until(), parts_.clock.now()))
+        send_as_leader(peer, peers::encode(delegation));
+}
+
+bool PeerCoordinator::send_as_leader(const std::string& peer, const peers::LeaderFrame& frame) {
+    const auto proof = parts_.term.scheduling_guard().prove();
+    return proof && network_.send(*proof, peer, frame);
+}
+
+std::optional<PeerCoordinator::TaskCounts> PeerCoordinator::displayed_counts(
+    const std::string& job_id) const {
+    const auto found = displayed_counts_.find(job_id);
+    if (found == displayed_counts_.end()) return std::nullopt;
+    return found->second;
+}
+
+void PeerCoordinator::hand_over_lost_zones(control::ControlLoop& control_loop) {
+    for (const auto& [zone, since] : lost_zones_) control_loop.expect_lost_zone(zone, since);
+    lost_zones_.clear();
+}
+
+}  // namespace nickelramp::controller
--- a/src/controller/worker_connections.cpp
+++ b/src/controller/worker_connections.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <compare>
 #include <utility>
 #include <vector>
 
@@ -11,60 +12,73 @@
 namespace nickelramp::controller {
 
 namespace {
-constexpr Millis kCommandWait = 2'000;
-constexpr std::size_t kQueued = 4;  // commands to one machine
-constexpr int kOk = 200, kConflict = 409;
+constexpr Millis kCommandTimeout = 2'000;
+constexpr std::size_t kConnectionsPerWorker = 1;
+constexpr std::size_t kMaxQueuedCommands = 4;  // to one worker
+constexpr int kOk = 200;
+constexpr int kConflict = 409;
 
-cluster::CommandReply read_reply(const net::ClientReply& reply) {
-    cluster::CommandReply out;
+struct IdleConnection {
+    Millis used_at = 0;
+    std::string machine;
+    // The one that has been idle longest first.
+    auto operator<=>(const IdleConnection&) const = default;
+};
+
+cluster::CommandReply decode_reply(const net::ClientReply& reply) {
+    cluster::CommandReply command_reply;
     if (reply.outcome == net::ClientReply::Outcome::refused) {
-        out.delivery = cluster::DeliveryStatus::refused;
-        return out;
+        command_reply.delivery = cluster::DeliveryStatus::refused;
+        return command_reply;
     }
     const bool answered = reply.outcome == net::ClientReply::Outcome::answered;
-    if (!answered || (reply.status != kOk && reply.status != kConflict)) return out;
+    if (!answered || (reply.status != kOk && reply.status != kConflict)) return command_reply;
     const auto body = wire::decode_map(reply.body);
-    out.heartbeat = body ? wire::decode_heartbeat(*body) : std::nullopt;
-    if (out.heartbeat) out.delivery = cluster::DeliveryStatus::delivered;
-    out.executed = reply.status == kOk;
-    return out;
+    command_reply.heartbeat = body ? wire::decode_heartbeat(*body) : std::nullopt;
+    if (command_reply.heartbeat) command_reply.delivery = cluster::DeliveryStatus::delivered;
+    command_reply.executed = reply.status == kOk;
+    return command_reply;
 }
 }  // namespace
 
 void WorkerConnections::send_command(const std::string& machine, const std::string& address,
-                                     std::string body, Done done, net::HttpClient::MaySend may) {
+                                     std::string body, Done done,
+                                     net::HttpClient::MaySend may_send) {
     Entry& entry = clients_[machine];
     entry.used_at = now();
     if (!entry.client) {
         const auto parsed = net::parse_address(address);
         if (!parsed) {
-            spdlog::error("machine {} has no usable address: {}", machine, address);
+            spdlog::error("worker address cannot be parsed: machine={} address={}", machine,
+                          address);
             clients_.erase(machine);
-            return;  // stays in flight: nothing can be sent to it
+            return;  // the command stays in flight: nothing can be sent to the worker
         }
-        entry.client = std::make_unique<net::HttpClient>(loop_, *parsed, address, 1, kQueued);
+        entry.client = std::make_unique<net::HttpClient>(loop_, *parsed, address,
+                                                         kConnectionsPerWorker, kMaxQueuedCommands);
     }
     entry.client->request(
-        "POST", "/commands", std::move(body), kCommandWait,
+        "POST", "/commands", std::move(body), kCommandTimeout,
         [this, done = std::move(done)](const net::ClientReply& reply) {
-            done(now(), read_reply(reply));
+            done(now(), decode_reply(reply));
         },
-        std::move(may));
+        std::move(may_send));
 }
 
-// Without this a controller of 1,300 machines has two sockets for each and none left for users.
+// Without this a leader of 1,300 machines has two sockets for each and none left for users.
 void WorkerConnections::prune(const std::function<bool(const std::string& machine)>& needed) {
-    std::erase_if(clients_,
-                  [&](const auto& c) { return c.second.client->idle() && !needed(c.first); });
-    if (clients_.size() <= max_idle_connections_) return;
-    std::vector<std::pair<Millis, std::string>> idle;
+    std::erase_if(clients_, [&needed](const auto& connection) {
+        return connection.second.client->idle() && !needed(connection.first);
+    });
+    if (clients_.size() <= max_connections_) return;
+    std::vector<IdleConnection> idle;
     for (const auto& [machine, entry] : clients_) {
-        if (entry.client->idle()) idle.emplace_back(entry.used_at, machine);
+        if (entry.client->idle()) idle.push_back({entry.used_at, machine});
     }
     std::sort(idle.begin(), idle.end());
-    for (const auto& [used_at, machine] : idle) {
-        if (clients_.size() <= max_idle_connections_) return;
-        clients_.erase(machine);
+    for (const IdleConnection& connection : idle) {
+        if (clients_.size() <= max_connections_) return;
+        clients_.erase(connection.machine);
     }
 }
 
--- a/src/controller/worker_connections.h
+++ b/src/controller/worker_connections.h
@@ -1,5 +1,5 @@
-// Connections from this controller to machines, for direct commands: one each, opened at need. Of
-// more than their share of the sockets those that were idle longest are closed.
+/// \file
+/// Connections from this controller to workers, for commands.
 #pragma once
 #include <uv.h>
 
@@ -15,31 +15,38 @@
 
 namespace nickelramp::controller {
 
+/// One HTTP connection to each worker, opened when the first command is sent. Connections that
+/// exceed their share of the sockets are closed, those that have been idle longest first. Shared by
+/// the gateways of the leader and of the shard holder; runs on the loop's thread.
 class WorkerConnections {
   public:
+    /// Called once per command with the loop's time, unless the connections are cleared before.
     using Done = std::function<void(Millis, const cluster::CommandReply&)>;
-    // `most`: connections that stay open between commands.
-    WorkerConnections(uv_loop_t* loop, std::size_t most)
-        : loop_(loop), max_idle_connections_(most) {}
+    /// `max_connections`: how many stay open between commands. The loop must outlive them.
+    WorkerConnections(uv_loop_t* loop, std::size_t max_connections)
+        : loop_(loop), max_connections_(max_connections) {}
 
-    // `may` is asked as the bytes go out. Without a usable address nothing is sent, and `done` is
-    // never called.
+    /// Posts a command. `may_send` is asked as the bytes go out. A reply other than 200 or 409, or
+    /// none within two seconds, gives the delivery status `unknown`. If the address cannot be
+    /// parsed nothing is sent, and `done` is never called.
     void send_command(const std::string& machine, const std::string& address, std::string body,
-                      Done done, net::HttpClient::MaySend may);
-    // Closes what is of no use any more; `needed` says whether a machine is still there.
+                      Done done, net::HttpClient::MaySend may_send);
+    /// Closes idle connections to machines that are not needed any more, then those beyond the
+    /// maximum. Called every second while this controller leads.
     void prune(const std::function<bool(const std::string& machine)>& needed);
+    /// Closes all connections.
     void clear() { clients_.clear(); }
-    std::size_t size() const { return clients_.size(); }
+    [[nodiscard]] std::size_t size() const { return clients_.size(); }
 
   private:
     struct Entry {
         std::unique_ptr<net::HttpClient> client;
         Millis used_at = 0;
     };
-    Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
+    [[nodiscard]] Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
 
     uv_loop_t* loop_;
-    const std::size_t max_idle_connections_;
+    const std::size_t max_connections_;
     std::unordered_map<std::string, Entry> clients_;  // by machine
 };
 
--- a/tests/golden_admin_test.cpp
+++ b/tests/golden_admin_test.cpp
@@ -31,10 +31,9 @@
                std::to_string(defaults.*option.member) + "\n";
         for (const Json& value : values) {
             admin::Options options;
-            std::string error;
-            const bool set = admin::set_option(options, option, value, error);
+            const auto error = admin::set_option(options, option, value);
             verdicts += std::string(option.name) + " = " + brief(value) + ": " +
-                        (set ? std::to_string(options.*option.member) : error) + "\n";
+                        (error ? error->message() : std::to_string(options.*option.member)) + "\n";
         }
     }
     text("options", all);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -116,25 +116,38 @@
 }
 
 TEST(Admin, SettingsAreValidatedAndStored) {
+    using admin::OptionErrorReason;
     admin::Options options;
-    std::string error;
     EXPECT_EQ(admin::find_option("rules"), nullptr);
-    const admin::Option* lent = admin::find_option("lent_machines");
-    ASSERT_NE(lent, nullptr);
-    EXPECT_TRUE(admin::set_option(options, *lent, 3, error));
-    for (const Json& bad :
-         {Json(-1), Json(2.5), Json(17), Json("many"), Json(NAN), Json(nullptr)}) {
-        error.clear();
-        EXPECT_FALSE(admin::set_option(options, *lent, bad, error)) << bad;
-        EXPECT_NE(error.find("from 0 to 16"), std::string::npos);
+    const admin::Option* delegated = admin::find_option("lent_machines");
+    ASSERT_NE(delegated, nullptr);
+    EXPECT_FALSE(admin::set_option(options, *delegated, 3));
+    struct Case {
+        Json value;
+        OptionErrorReason reason;
+    };
+    const Case cases[] = {
+        {Json(-1), OptionErrorReason::out_of_range},
+        {Json(2.5), OptionErrorReason::not_whole_number},
+        {Json(17), OptionErrorReason::out_of_range},
+        {Json("many"), OptionErrorReason::not_a_number},
+        {Json(NAN), OptionErrorReason::not_a_number},
+        {Json(nullptr), OptionErrorReason::not_a_number},
+    };
+    for (const Case& bad : cases) {
+        const auto error = admin::set_option(options, *delegated, bad.value);
+        ASSERT_TRUE(error) << bad.value;
+        EXPECT_EQ(error->option, delegated);
+        EXPECT_EQ(error->reason, bad.reason) << bad.value;
+        EXPECT_NE(error->message().find("from 0 to 16"), std::string::npos);
     }
     EXPECT_EQ(options.delegated_machines, 3);
     Json record = admin::options_json(options);
     record["use_spot"] = 5;        // out of range in a record: passed over
     record["of_later"] = "value";  // of another version
-    admin::Options back = admin::read_options(record);
-    EXPECT_EQ(back.delegated_machines, 3);
-    EXPECT_EQ(back.use_spot, admin::Options{}.use_spot);
+    const admin::Options read = admin::read_options(record);
+    EXPECT_EQ(read.delegated_machines, 3);
+    EXPECT_EQ(read.use_spot, admin::Options{}.use_spot);
 }
 
 }  // namespace
