--- a/src/lifecycle/checkpoint_writer.cpp
+++ b/src/lifecycle/checkpoint_writer.cpp
@@ -6,172 +6,216 @@
 
 namespace nickelramp::lifecycle {
 
+using jobs::Attempt;
 using jobs::AttemptState;
 using jobs::Job;
 using jobs::JobState;
 using machines::Machine;
 
 namespace {
-constexpr Millis kRetry = 250;
-constexpr Millis kDoneDelay = 10'000;  // completions wait this long for company
-// Places that come free one by one are recorded together: a record each would be more than the
-// state service takes.
-constexpr Millis kCommitGap = 300;
-constexpr std::size_t kMostNamed = 1200;  // machines in one transaction, for its size
+constexpr Millis kRetryDelay = 250;
+constexpr Millis kProtocolErrorRetryDelay = 4 * kRetryDelay;
+/// Completions wait this long so that several are written together.
+constexpr Millis kCompletionDelay = 10'000;
+/// Slots that come free one by one are recorded together: one record each would be more than the
+/// state service's rate limit allows.
+constexpr Millis kMinCommitInterval = 300;
+/// Entries in one transaction, which bounds its size in bytes.
+constexpr std::size_t kMaxEntriesPerCommit = 1200;
+
+std::uint32_t chunk_of(std::uint32_t task) { return task / jobs::kChunkTasks; }
+
+std::optional<std::uint32_t> first_dirty_chunk_of_uncertain_version(const Job& job) {
+    for (const auto& [number, chunk] : job.chunks) {
+        if (chunk.dirty && chunk.uncertain) return number;
+    }
+    return std::nullopt;
+}
+
+// Names attempts that have ended, so that their numbers are not used again.
+void add_ended_attempts(const Job& job, std::uint32_t chunk_number, jobs::RunRecord& record) {
+    for (const jobs::RetryTask& retry : job.retry_tasks) {
+        if (chunk_of(retry.task) == chunk_number && retry.last_attempt > 0)
+            record.entries.push_back({retry.task, retry.last_attempt, false, ""});
+    }
+    if (job.is_gang() && job.live_attempts == 0 && job.gang_attempt > 0) {
+        const std::uint32_t first_task = chunk_number * jobs::kChunkTasks;
+        record.entries.push_back({first_task, job.gang_attempt, false, ""});
+    }
+}
 }  // namespace
 
-// When the job's next checkpoint is to be written; kNever if there is nothing to write.
 Millis CheckpointWriter::next_write_at(const Job& job) const {
     if (job.commit_in_flight || job.delegated_shard != kNone) return kNever;
-    if (job.state != JobState::open) return kNever;  // its last transaction says it all
+    // The transaction that ends a job replaces its checkpoints.
+    if (job.state != JobState::open) return kNever;
     Millis due = kNever;
-    if (job.unsaved_completions_since != 0) due = job.unsaved_completions_since + kDoneDelay;
+    if (job.unsaved_completions_since != 0) due = job.unsaved_completions_since + kCompletionDelay;
     if (job.uncommitted_attempts > 0) {
-        bool piecemeal = job.spec.shape == wire::Shape::array && job.unplaced_tasks() > 0;
-        due = std::min(due, piecemeal ? job.committed_at + kCommitGap : 0);
+        const bool more_to_place = job.spec.shape == wire::Shape::array && job.unplaced_tasks() > 0;
+        due = std::min(due, more_to_place ? job.committed_at + kMinCommitInterval : 0);
     }
     return due == kNever ? kNever : std::max(due, job.retry_commit_at);
 }
 
-// One conditional transaction for one pipeline: its chunks, on condition that this term lasts, that
-// the job is as known (no start after a cancel) and that no late write has touched the records.
 void CheckpointWriter::write(Job& job, Millis now) {
+    Commit commit{job.spec.id, ++job.last_commit_number, {}};
+    // Before any chunk is marked as written: the chunks of a transaction that is not sent would
+    // never be recorded.
+    if (const auto uncertain = first_dirty_chunk_of_uncertain_version(job)) {
+        reread_chunk(job, *uncertain);
+        return;
+    }
     kvstore::Transaction transaction;
     if (job.spec.priority == wire::Priority::production)
         transaction.request_class = kvstore::RequestClass::background_urgent;
     transaction.conditions = term_.conditions();
     transaction.conditions.push_back({jobs::open_key(job.spec.id), job.version});
-    std::vector<std::uint32_t> written;
-    std::uint64_t serial = ++job.last_commit_number;
-    for (auto& [n, c] : job.chunks) {
-        // Before any chunk is marked as written: those of a transaction that is not sent would stay
-        // unrecorded for good.
-        if (c.dirty && c.uncertain) {
-            reread_chunk(job, n);
-            return;
-        }
-    }
-    std::size_t named = 0;
-    bool more = false;
-    for (auto& [n, c] : job.chunks) {
-        if (!c.dirty) continue;
-        if (written.size() >= term_.settings().state_txn_ops || named >= kMostNamed) {
-            more = true;
+    std::size_t entries = 0;
+    bool more_chunks = false;
+    for (auto& [number, chunk] : job.chunks) {
+        if (!chunk.dirty) continue;
+        if (commit.chunks.size() >= term_.settings().state_txn_ops ||
+            entries >= kMaxEntriesPerCommit) {
+            more_chunks = true;
             break;
         }
-        jobs::RunRecord record;
-        record.done = c.done;
-        std::uint32_t first = n * jobs::kChunkTasks;
-        for (const auto& attempt : job.attempts) {
-            if (attempt->task / jobs::kChunkTasks != n || !attempt->live() ||
-                job.is_done(attempt->task))
-                continue;
-            Machine* machine = cluster_.machine_of(*attempt);
-            record.entries.push_back(
-                {attempt->task, attempt->number, true, machine == nullptr ? "" : machine->name});
-            if (attempt->state == AttemptState::recording) {
-                cluster_.attempt_in_commit(*attempt, serial);
-                job.committed_at = now;
-            }
-        }
-        for (const jobs::RetryTask& w : job.retry_tasks) {
-            if (w.task / jobs::kChunkTasks == n && w.last_attempt > 0) {
-                record.entries.push_back({w.task, w.last_attempt, false, ""});
-            }
-        }
-        if (job.is_gang() && job.live_attempts == 0 && job.gang_attempt > 0) {
-            record.entries.push_back({first, job.gang_attempt, false, ""});
-        }
-        named += record.entries.size();
-        transaction.conditions.push_back({jobs::run_key(job.spec.id, n), c.version});
-        transaction.writes.push_back(
-            {jobs::run_key(job.spec.id, n), jobs::encode_run_record(record)});
-        c.dirty = false;
-        c.done_in_commit = c.done;
-        written.push_back(n);
-    }
-    if (written.empty()) {
+        const jobs::RunRecord record = record_chunk(job, number, commit.number, now);
+        entries += record.entries.size();
+        const std::string key = jobs::run_key(job.spec.id, number);
+        transaction.conditions.push_back({key, chunk.version});
+        transaction.writes.push_back({key, jobs::encode_run_record(record)});
+        chunk.dirty = false;
+        chunk.done_in_commit = chunk.done;
+        commit.chunks.push_back(number);
+    }
+    if (commit.chunks.empty()) {
         job.unsaved_completions_since = 0;
         return;
     }
+    job.unsaved_completions_since = more_chunks ? now : 0;
     job.commit_in_flight = true;
-    job.unsaved_completions_since = more ? now : 0;
     term_.gateway().commit(std::move(transaction),
-                           term_.guarded([this, id = job.spec.id, serial, written](
-                                             Millis t, const kvstore::CommitReply& reply) {
-                               on_written(id, serial, written, reply, t);
+                           term_.guarded([this, commit = std::move(commit)](
+                                             Millis replied_at, const kvstore::CommitReply& reply) {
+                               on_written(commit, reply, replied_at);
                            }));
 }
 
-void CheckpointWriter::on_written(const std::string& id, std::uint64_t serial,
-                                  const std::vector<std::uint32_t>& chunks,
-                                  const kvstore::CommitReply& reply, Millis now) {
-    Job* found = cluster_.job(id);
-    if (found == nullptr) return;
-    Job& job = *found;
-    job.commit_in_flight = false;
-    if (reply.status == kvstore::Status::ok) {
-        for (std::uint32_t n : chunks) {
-            job.chunks[n].version = reply.revision;
-            job.chunks[n].done_recorded = job.chunks[n].done_in_commit;
-        }
-        for (const auto& attempt : job.attempts) {
-            if (attempt->commit_number != serial || attempt->state != AttemptState::recording)
-                continue;
+jobs::RunRecord CheckpointWriter::record_chunk(Job& job, std::uint32_t chunk_number,
+                                               std::uint64_t commit_number, Millis now) {
+    jobs::RunRecord record;
+    record.done = job.chunks.at(chunk_number).done;
+    add_live_attempts(job, chunk_number, commit_number, now, record);
+    add_ended_attempts(job, chunk_number, record);
+    return record;
+}
+
+void CheckpointWriter::add_live_attempts(Job& job, std::uint32_t chunk_number,
+                                         std::uint64_t commit_number, Millis now,
+                                         jobs::RunRecord& record) {
+    for (const auto& attempt : job.attempts) {
+        if (chunk_of(attempt->task) != chunk_number || !attempt->live() ||
+            job.is_done(attempt->task))
+            continue;
+        const Machine* machine = cluster_.machine_of(*attempt);
+        record.entries.push_back(
+            {attempt->task, attempt->number, true, machine == nullptr ? "" : machine->name});
+        if (attempt->state != AttemptState::recording) continue;
+        cluster_.attempt_in_commit(*attempt, commit_number);
+        job.committed_at = now;
+    }
+}
+
+void CheckpointWriter::on_written(const Commit& commit, const kvstore::CommitReply& reply,
+                                  Millis now) {
+    Job* job = cluster_.job(commit.job_id);
+    if (job == nullptr) return;
+    job->commit_in_flight = false;
+    if (reply.status == kvstore::Status::ok)
+        on_commit_applied(*job, commit, reply.revision, now);
+    else
+        on_commit_failed(*job, commit, reply, now);
+}
+
+void CheckpointWriter::on_commit_applied(Job& job, const Commit& commit, std::uint64_t revision,
+                                         Millis now) {
+    for (const std::uint32_t number : commit.chunks) {
+        jobs::Chunk& chunk = job.chunks[number];
+        chunk.version = revision;
+        chunk.done_recorded = chunk.done_in_commit;
+    }
+    for (const auto& attempt : job.attempts) {
+        if (attempt->commit_number == commit.number && attempt->state == AttemptState::recording)
             cluster_.attempt_recorded(*attempt, now);
+    }
+    // A gang starts only when all of it is recorded, so its members' machines wait for the last.
+    if (job.is_gang() && job.all_attempts_recorded()) {
+        for (const auto& attempt : job.attempts) {
+            if (Machine* machine = cluster_.machine_of(*attempt)) actions_.queue_commands(*machine);
         }
-        if (job.is_gang() && job.all_attempts_recorded()) {
-            for (const auto& attempt : job.attempts) {
-                if (Machine* machine = cluster_.machine_of(*attempt))
-                    actions_.queue_commands(*machine);
-            }
-        }
-        actions_.advance_job(job, now);
-        actions_.send_queued_commands(now);
-        return;
     }
-    for (std::uint32_t n : chunks) job.chunks[n].dirty = true;
+    actions_.advance_job(job, now);
+    actions_.send_queued_commands(now);
+}
+
+void CheckpointWriter::on_commit_failed(Job& job, const Commit& commit,
+                                        const kvstore::CommitReply& reply, Millis now) {
+    for (const std::uint32_t number : commit.chunks) job.chunks[number].dirty = true;
     if (job.unsaved_completions_since == 0) job.unsaved_completions_since = now;
     for (const auto& attempt : job.attempts) {
-        if (attempt->commit_number == serial) cluster_.attempt_not_committed(*attempt);
+        if (attempt->commit_number == commit.number) cluster_.attempt_not_committed(*attempt);
     }
-    job.retry_commit_at = now + kRetry;
-    if (reply.status == kvstore::Status::unknown) {
-        // It may have been applied, or may be later: the next write must know what it builds on.
-        for (std::uint32_t n : chunks) job.chunks[n].uncertain = true;
-    } else if (reply.status == kvstore::Status::conflict) {
-        if (term_.check_superseded(reply)) return;
-        for (const std::string& key : reply.failed_conditions) {
-            std::string run_id;
-            std::uint32_t n = 0;
-            if (jobs::parse_run_key(key, run_id, n)) job.chunks[n].uncertain = true;
-        }
-        // A changed description arrives with the watch; until then the retry finds the same.
-    } else if (reply.status == kvstore::Status::protocol_error) {
-        spdlog::error("checkpoint of {} was not understood by the state service", id);
-        job.retry_commit_at = now + 4 * kRetry;
+    job.retry_commit_at = now + kRetryDelay;
+    if (reply.status == kvstore::Status::conflict && term_.check_superseded(reply)) return;
+    if (reply.status == kvstore::Status::protocol_error) {
+        spdlog::error("checkpoint rejected as malformed by the state service job={}", job.spec.id);
+        job.retry_commit_at = now + kProtocolErrorRetryDelay;
     }
+    mark_uncertain_chunks(job, commit, reply);
     actions_.advance_job(job, now);
 }
 
-void CheckpointWriter::reread_chunk(Job& job, std::uint32_t chunk) {
+void CheckpointWriter::mark_uncertain_chunks(Job& job, const Commit& commit,
+                                             const kvstore::CommitReply& reply) {
+    if (reply.status == kvstore::Status::unknown) {
+        // The transaction may have been applied, or may yet be.
+        for (const std::uint32_t number : commit.chunks) job.chunks[number].uncertain = true;
+        return;
+    }
+    if (reply.status != kvstore::Status::conflict) return;
+    // A changed open record arrives with the watch; until then the retry fails on the same
+    // condition.
+    for (const std::string& key : reply.failed_conditions) {
+        std::string id;
+        std::uint32_t number = 0;
+        if (jobs::parse_run_key(key, id, number)) job.chunks[number].uncertain = true;
+    }
+}
+
+void CheckpointWriter::reread_chunk(Job& job, std::uint32_t chunk_number) {
     job.commit_in_flight = true;
-    term_.gateway().read(
-        jobs::run_key(job.spec.id, chunk),
-        term_.guarded([this, id = job.spec.id, chunk](Millis t, const kvstore::GetReply& reply) {
-            Job* found = cluster_.job(id);
-            if (found == nullptr) return;
-            found->commit_in_flight = false;
-            jobs::Chunk& c = found->chunks[chunk];
-            if (auto stamp = kvstore::version_of(reply)) {
-                c.version = *stamp;
-                c.uncertain = false;
-            } else {
-                found->retry_commit_at = t + kRetry;
-            }
-            if (t >= next_write_at(*found)) write(*found, t);
-            actions_.advance_job(*found, t);
-        }));
+    term_.gateway().read(jobs::run_key(job.spec.id, chunk_number),
+                         term_.guarded([this, id = job.spec.id, chunk_number](
+                                           Millis replied_at, const kvstore::GetReply& reply) {
+                             on_chunk_reread(id, chunk_number, reply, replied_at);
+                         }));
+}
+
+void CheckpointWriter::on_chunk_reread(const std::string& job_id, std::uint32_t chunk_number,
+                                       const kvstore::GetReply& reply, Millis now) {
+    Job* job = cluster_.job(job_id);
+    if (job == nullptr) return;
+    job->commit_in_flight = false;
+    jobs::Chunk& chunk = job->chunks[chunk_number];
+    if (const auto version = kvstore::version_of(reply)) {
+        chunk.version = *version;
+        chunk.uncertain = false;
+    } else {
+        job->retry_commit_at = now + kRetryDelay;
+    }
+    if (now >= next_write_at(*job)) write(*job, now);
+    actions_.advance_job(*job, now);
 }
 
 }  // namespace nickelramp::lifecycle
