--- a/src/sharding/shard_lease_writer.cpp
+++ b/src/sharding/shard_lease_writer.cpp
@@ -1,7 +1,5 @@
 #include "sharding/shard_lease_writer.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 
 namespace nickelramp::sharding {
@@ -9,104 +7,136 @@
 using machines::Machine;
 
 namespace {
-constexpr Millis kRetry = 250;
-constexpr Millis kBlockGap = 100;
+constexpr Millis kRetryDelay = 250;
+/// Machines that join one by one are recorded together.
+constexpr Millis kMinWriteInterval = 100;
 }  // namespace
 
 ShardLeaseWriter::ShardLeaseWriter(cluster::TermContext& term, cluster::ClusterState& cluster,
-                                   cluster::ControlActions& actions, Listener& observer)
-    : term_(term), cluster_(cluster), actions_(actions), listener_(observer) {
+                                   cluster::ControlActions& actions, Listener& listener)
+    : term_(term), cluster_(cluster), actions_(actions), listener_(listener) {
     table_.start_term(term.info().number, term.settings().name);
 }
 
 void ShardLeaseWriter::write(Millis now) {
-    if (write_in_flight_ || !term_.lease_confirmed(now) ||
-        now < std::max(retry_at_, next_write_at_))
-        return;
-    if (!table_.has_dirty_shards()) return;
+    const Millis earliest = std::max(retry_at_, next_write_at_);
+    if (write_in_flight_ || !term_.lease_confirmed(now) || now < earliest) return;
+    const std::size_t limit = term_.settings().state_txn_ops / 2;
+    const std::uint64_t reclaim_fence = term_.role_fence(lease::Role::shard_reclaim);
+    const std::vector<std::uint32_t> numbers = writable_shards(limit, reclaim_fence);
+    if (numbers.empty()) return;
+    // The many grants of a new leader, which fill the transaction, do not wait for each other.
+    if (numbers.size() < limit) next_write_at_ = now + kMinWriteInterval;
+    send(numbers, reclaim_fence);
+}
+
+std::vector<std::uint32_t> ShardLeaseWriter::writable_shards(std::size_t limit,
+                                                             std::uint64_t reclaim_fence) {
+    auto numbers = table_.dirty_shards(limit);
+    // While nobody holds the role, reclaiming waits: a condition on a fence of 0 would demand that
+    // nobody holds it.
+    if (reclaim_fence == 0) {
+        std::erase_if(
+            numbers, [this](std::uint32_t number) { return table_.shard(number).being_reclaimed; });
+    }
+    return numbers;
+}
+
+void ShardLeaseWriter::send(const std::vector<std::uint32_t>& shard_numbers,
+                            std::uint64_t reclaim_fence) {
+    Commit commit;
     kvstore::Transaction transaction;
     transaction.conditions = term_.conditions();
-    const std::size_t most = term_.settings().state_txn_ops / 2;
-    auto numbers = table_.dirty_shards(most);
-    // Taking back what another holds is a duty of its own: nobody's for a moment, it waits. A
-    // condition on no fence would say that nobody may have it.
-    const std::uint64_t fence = term_.role_fence(lease::Role::shard_reclaim);
-    if (fence == 0)
-        std::erase_if(numbers, [this](std::uint32_t n) { return table_.shard(n).being_reclaimed; });
-    if (numbers.empty()) return;
-    // Machines that join one by one are recorded together; a new leader's many grants do not wait.
-    if (numbers.size() < most) next_write_at_ = now + kBlockGap;
-    std::vector<std::string> members;
     bool reclaims = false;
-    for (std::uint32_t n : numbers) {
-        shards::Shard& shard = table_.shard(n);
+    for (const std::uint32_t number : shard_numbers) {
+        shards::Shard& shard = table_.shard(number);
         if (shard.write_uncertain) {
-            reread(n);
+            reread(number);
             return;
         }
-        transaction.conditions.push_back({shards::shard_key(n), shard.version});
-        transaction.writes.push_back({shards::shard_key(n), shards::encode_shard(shard)});
+        const std::string key = shards::shard_key(number);
+        transaction.conditions.push_back({key, shard.version});
+        transaction.writes.push_back({key, shards::encode_shard(shard)});
         shard.dirty = false;
         reclaims |= shard.being_reclaimed;
-        for (const shards::ShardMember& member : shard.members) members.push_back(member.name);
+        commit.shard_numbers.push_back(number);
+        for (const shards::ShardMember& member : shard.members)
+            commit.machines.push_back(member.name);
+    }
+    if (reclaims) {
+        transaction.conditions.push_back(
+            {lease::role_key(lease::Role::shard_reclaim), reclaim_fence});
     }
-    if (reclaims)
-        transaction.conditions.push_back({lease::role_key(lease::Role::shard_reclaim), fence});
     write_in_flight_ = true;
-    term_.gateway().commit(
-        std::move(transaction),
-        term_.guarded([this, numbers, members](Millis t, const kvstore::CommitReply& reply) {
-            on_written(numbers, members, reply, t);
-        }));
+    term_.gateway().commit(std::move(transaction),
+                           term_.guarded([this, commit = std::move(commit)](
+                                             Millis replied_at, const kvstore::CommitReply& reply) {
+                               on_written(commit, reply, replied_at);
+                           }));
 }
 
-void ShardLeaseWriter::reread(std::uint32_t n) {
+void ShardLeaseWriter::reread(std::uint32_t shard_number) {
     write_in_flight_ = true;
-    term_.gateway().read(shards::shard_key(n),
-                         term_.guarded([this, n](Millis t, const kvstore::GetReply& reply) {
-                             write_in_flight_ = false;
-                             shards::Shard& again = table_.shard(n);
-                             auto stamp = kvstore::version_of(reply);
-                             if (!stamp) {
-                                 retry_at_ = t + kRetry;
-                                 return;
-                             }
-                             again.version = *stamp;
-                             again.write_uncertain = false;
-                             write(t);
-                         }));
+    term_.gateway().read(
+        shards::shard_key(shard_number),
+        term_.guarded([this, shard_number](Millis replied_at, const kvstore::GetReply& reply) {
+            on_reread(shard_number, reply, replied_at);
+        }));
 }
 
-void ShardLeaseWriter::on_written(const std::vector<std::uint32_t>& numbers,
-                                  const std::vector<std::string>& members,
-                                  const kvstore::CommitReply& reply, Millis now) {
+void ShardLeaseWriter::on_reread(std::uint32_t shard_number, const kvstore::GetReply& reply,
+                                 Millis now) {
     write_in_flight_ = false;
-    if (reply.status == kvstore::Status::ok) {
-        for (std::uint32_t n : numbers) {
-            table_.shard(n).version = reply.revision;
-            table_.shard(n).being_reclaimed = false;
-        }
-        for (const std::string& name : members) {
-            Machine* machine = cluster_.machine(name);
-            if (machine == nullptr) continue;
-            machine->shard_recorded = true;
-            listener_.on_machine_granted(*machine, now);
-        }
-        for (std::uint32_t n : numbers) listener_.on_shard_recorded(n, now);
-        actions_.send_queued_commands(now);
-        write(now);
-        actions_.schedule_if_needed(now);
+    shards::Shard& shard = table_.shard(shard_number);
+    const auto version = kvstore::version_of(reply);
+    if (!version) {
+        retry_at_ = now + kRetryDelay;
         return;
     }
-    for (std::uint32_t n : numbers) {
-        shards::Shard& shard = table_.shard(n);
+    shard.version = *version;
+    shard.write_uncertain = false;
+    write(now);
+}
+
+void ShardLeaseWriter::on_written(const Commit& commit, const kvstore::CommitReply& reply,
+                                  Millis now) {
+    write_in_flight_ = false;
+    if (reply.status == kvstore::Status::ok)
+        on_commit_applied(commit, reply.revision, now);
+    else
+        on_commit_failed(commit, reply, now);
+}
+
+void ShardLeaseWriter::on_commit_applied(const Commit& commit, std::uint64_t revision, Millis now) {
+    for (const std::uint32_t number : commit.shard_numbers) {
+        shards::Shard& shard = table_.shard(number);
+        shard.version = revision;
+        shard.being_reclaimed = false;
+    }
+    for (const std::string& name : commit.machines) {
+        Machine* machine = cluster_.machine(name);
+        if (machine == nullptr) continue;
+        machine->shard_recorded = true;
+        listener_.on_machine_granted(*machine, now);
+    }
+    for (const std::uint32_t number : commit.shard_numbers)
+        listener_.on_shard_recorded(number, now);
+    actions_.send_queued_commands(now);
+    write(now);
+    actions_.schedule_if_needed(now);
+}
+
+void ShardLeaseWriter::on_commit_failed(const Commit& commit, const kvstore::CommitReply& reply,
+                                        Millis now) {
+    const bool certainly_not_applied = reply.status == kvstore::Status::refused;
+    for (const std::uint32_t number : commit.shard_numbers) {
+        shards::Shard& shard = table_.shard(number);
         shard.dirty = true;
-        if (reply.status != kvstore::Status::refused) shard.write_uncertain = true;
+        if (!certainly_not_applied) shard.write_uncertain = true;
     }
-    retry_at_ = now + kRetry;
-    if (reply.status == kvstore::Status::conflict && !term_.check_superseded(reply)) {
+    retry_at_ = now + kRetryDelay;
+    if (reply.status == kvstore::Status::conflict && !term_.check_superseded(reply))
         term_.note_rejected_role_fences(reply);
-    }
 }
 
 }  // namespace nickelramp::sharding
--- a/src/sharding/shard_lease_writer.h
+++ b/src/sharding/shard_lease_writer.h
@@ -1,5 +1,9 @@
-// Grants of machines: the records of the blocks, written before their machines are used.
+/// @file
+/// Writes the records of shards (shards/shard_lease_table.h): a machine is used, and a shard
+/// granted, only after the record that says so is committed.
 #pragma once
+#include <cstdint>
+#include <string>
 #include <vector>
 
 #include "cluster/cluster_state.h"
@@ -7,29 +11,58 @@
 
 namespace nickelramp::sharding {
 
+/// Owns the term's ShardLeaseTable and keeps the state service's records equal to it.
+///
+/// Guarantees:
+/// - At most one transaction is in flight. It succeeds only while this term lasts and no other
+///   write has touched the records it replaces; records of shards that are taken back also need the
+///   fence of the shard reclaim role, and wait while nobody holds that role.
+/// - A record whose last write has an unknown outcome is read before it is written again.
+/// - After a failure the next try follows after 250 ms at the earliest.
+///
+/// Called by the control loop, which adds and removes machines and calls write() once per tick, and
+/// by ShardAllocator. Runs on the one loop thread and lives as long as its term; times are
+/// milliseconds of the steady clock.
 class ShardLeaseWriter {
   public:
+    /// Is told what has got on record. Implemented by the control loop.
     class Listener {
       public:
         virtual ~Listener() = default;
-        // The machine's grant, or the block, is on record.
+        /// The machine's shard is on record: commands may be sent to it under the shard's token.
         virtual void on_machine_granted(machines::Machine& machine, Millis now) = 0;
-        virtual void on_shard_recorded(std::uint32_t block, Millis now) = 0;
+        /// The shard's record is committed as the table had it when the write was sent.
+        virtual void on_shard_recorded(std::uint32_t shard_number, Millis now) = 0;
     };
 
+    /// Starts the table's term. All arguments must outlive the writer.
     ShardLeaseWriter(cluster::TermContext& term, cluster::ClusterState& cluster,
-                     cluster::ControlActions& actions, Listener& observer);
+                     cluster::ControlActions& actions, Listener& listener);
 
     shards::ShardLeaseTable& table() { return table_; }
-    const shards::ShardLeaseTable& table() const { return table_; }
+    [[nodiscard]] const shards::ShardLeaseTable& table() const { return table_; }
+
+    /// Sends one transaction with as many dirty shards as fit, or reads an uncertain record; does
+    /// nothing while one is in flight, a delay is running or the leader's lease is not confirmed.
     void write(Millis now);
-    bool write_in_flight() const { return write_in_flight_; }
+    [[nodiscard]] bool write_in_flight() const { return write_in_flight_; }
 
   private:
-    void reread(std::uint32_t block);
-    void on_written(const std::vector<std::uint32_t>& numbers,
-                    const std::vector<std::string>& members, const kvstore::CommitReply& reply,
-                    Millis now);
+    /// What a transaction in flight writes.
+    struct Commit {
+        std::vector<std::uint32_t> shard_numbers;
+        std::vector<std::string> machines;  ///< all members of those shards
+    };
+
+    /// The shards that may be written now, under the given fence of the reclaim role.
+    [[nodiscard]] std::vector<std::uint32_t> writable_shards(std::size_t limit,
+                                                             std::uint64_t reclaim_fence);
+    void send(const std::vector<std::uint32_t>& shard_numbers, std::uint64_t reclaim_fence);
+    void reread(std::uint32_t shard_number);
+    void on_reread(std::uint32_t shard_number, const kvstore::GetReply& reply, Millis now);
+    void on_written(const Commit& commit, const kvstore::CommitReply& reply, Millis now);
+    void on_commit_applied(const Commit& commit, std::uint64_t revision, Millis now);
+    void on_commit_failed(const Commit& commit, const kvstore::CommitReply& reply, Millis now);
 
     cluster::TermContext& term_;
     cluster::ClusterState& cluster_;
@@ -37,7 +70,8 @@
     Listener& listener_;
     shards::ShardLeaseTable table_;
     bool write_in_flight_ = false;
-    Millis retry_at_ = 0, next_write_at_ = 0;
+    Millis retry_at_ = 0;
+    Millis next_write_at_ = 0;
 };
 
 }  // namespace nickelramp::sharding
