--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -105,8 +105,7 @@
 
     // Sharing, the leader's side.
     void on_peer_status(const peers::Status& status, Millis now);
-    std::vector<std::pair<std::string, peers::ShardGrant>> shard_renewals(Millis view_fresh,
-                                                                          Millis now) {
+    std::vector<sharding::AddressedGrant> shard_renewals(Millis view_fresh, Millis now) {
         return shard_allocator_.renewals(view_fresh, now);
     }
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -308,11 +308,11 @@
                         }
                         lost_zones_.clear();
                         for (const auto& entry : block.entries) {
-                            std::uint32_t n = 0;
                             auto shard = shards::decode_shard(entry.value);
-                            if (!shard || !shards::parse_shard_key(entry.key, n)) continue;
+                            const auto shard_number = shards::parse_shard_key(entry.key);
+                            if (!shard || !shard_number) continue;
                             shard->version = entry.version;
-                            control_loop.load_shard(n, std::move(*shard));
+                            control_loop.load_shard(*shard_number, std::move(*shard));
                         }
                         for (const auto& entry : intents.entries)
                             control_loop.load_intents(entry.key, entry.value, entry.version);
--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -242,12 +242,12 @@
     options_.delegated_machines = share_;
     n.control_loop->set_options(options_);
     for (const auto& [key, stored] : got.records) {
-        std::uint32_t b = 0;
-        if (!shards::parse_shard_key(key, b)) continue;
+        const auto shard_number = shards::parse_shard_key(key);
+        if (!shard_number) continue;
         auto shard = shards::decode_shard(stored.value);
         ASSERT_TRUE(shard);
         shard->version = stored.version;
-        n.control_loop->load_shard(b, *shard);
+        n.control_loop->load_shard(*shard_number, *shard);
     }
     for (const auto& [key, stored] : got.records) {
         if (key.rfind(autoscaling::kIntentKeyPrefix, 0) == 0)
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -70,9 +70,8 @@
     }
     for (const char* key : {"block/0", "block/4294967295", "block/4294967296", "block/", "block/x",
                             "block/1x", "blocks/1"}) {
-        std::uint32_t number = 0;
-        const bool good = shards::parse_shard_key(key, number);
-        block += std::string(key) + " -> " + (good ? std::to_string(number) : "none") + "\n";
+        const auto number = shards::parse_shard_key(key);
+        block += std::string(key) + " -> " + (number ? std::to_string(*number) : "none") + "\n";
     }
     for (const char* key : {"intent/renting/7", "intent/returning/18446744073709551615",
                             "intent/renting/", "intent/renting/x", "intent/reclaiming/7",
--- a/tests/golden_transactions_test.cpp
+++ b/tests/golden_transactions_test.cpp
@@ -180,13 +180,13 @@
     fixture.shard_allocator.delegate_job(fixture.add_job(job("job-2", "sweep", 8, 0)), 1100);
     const auto grants = fixture.shard_allocator.renewals(900, 1200);
     ASSERT_EQ(grants.size(), 1u);
-    bytes("grant", peers::encode(grants[0].second).frame);
+    bytes("grant", peers::encode(grants[0].grant).frame);
 
     wire::Settings settings = test::simulation_settings();
     settings.name = "holder-0";
     RecordingGateway record;
     control::ShardHolder shard_holder(settings, election::kTermKey, record, 3);
-    shard_holder.on_grant(grants[0].second, fixture.cluster.types(), 0, 1000);
+    shard_holder.on_grant(grants[0].grant, fixture.cluster.types(), 0, 1000);
     ASSERT_EQ(record.reads.size(), 1u);
     text("read by the holder", record.reads.front().first);
     kvstore::GetReply open;
