--- a/src/controller/term_loader.cpp
+++ b/src/controller/term_loader.cpp
@@ -29,11 +29,11 @@
 
 void load_shards(const TermRecords& records, control::ControlLoop& control_loop) {
     for (const kvstore::Entry& entry : records.shards.entries) {
-        std::uint32_t number = 0;
         auto shard = shards::decode_shard(entry.value);
-        if (!shard || !shards::parse_shard_key(entry.key, number)) continue;
+        const auto number = shards::parse_shard_key(entry.key);
+        if (!shard || !number) continue;
         shard->version = entry.version;
-        control_loop.load_shard(number, std::move(*shard));
+        control_loop.load_shard(*number, std::move(*shard));
     }
 }
 
--- a/tests/cluster_simulation_leaders.cpp
+++ b/tests/cluster_simulation_leaders.cpp
@@ -142,12 +142,12 @@
 void ClusterSimulation::load_records(control::ControlLoop& control_loop,
                                      const LoadProgress& progress) {
     for (const auto& [key, stored] : progress.records) {
-        std::uint32_t shard_number = 0;
-        if (!shards::parse_shard_key(key, shard_number)) continue;
+        const auto shard_number = shards::parse_shard_key(key);
+        if (!shard_number) continue;
         auto shard = shards::decode_shard(stored.value);
         ASSERT_TRUE(shard);
         shard->version = stored.version;
-        control_loop.load_shard(shard_number, *shard);
+        control_loop.load_shard(*shard_number, *shard);
     }
     for (const auto& [key, stored] : progress.records) {
         if (key.rfind(autoscaling::kIntentKeyPrefix, 0) == 0)
