--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -134,26 +134,7 @@
       readiness_(std::count_if(settings.peers.begin(), settings.peers.end(),
                                [&](const wire::Peer& peer) { return peer.name != settings.name; }),
                  static_cast<Millis>(uv_now(loop))),
-      peer_network_(
-          loop, settings.peers,
-          {[this](const peers::Status& status) { on_peer_status(status); },
-           [this](const peers::ShardGrant& g) { on_shard_grant(g); },
-           [this](const peers::ShardStatus& n) {
-               if (term_phase_ == TermPhase::running) control_loop_->on_shard_status(n, now());
-           },
-           [this](const peers::HeartbeatDelegation& l) {
-               leader_status_at_ = now();
-               partition_responder_.on_delegation(l, shard_holder_.incarnation(), now());
-           },
-           [this](const peers::RoleAssignment& c) { role_manager_.on_assignment(c, now()); },
-           [this](const peers::DelegatedRequest& e) {
-               role_manager_.on_delegated_request(e, now());
-           },
-           [this](const peers::DelegatedResult& o) { role_manager_.on_delegated_result(o, now()); },
-           [this](const peers::ForwardedHeartbeat& r) {
-               heartbeat_handler_.on_forwarded_heartbeat(r);
-           },
-           [this](const peers::ForwardedReply& a) { heartbeat_handler_.on_forwarded_reply(a); }}),
+      peer_network_(loop, settings.peers, *this),
       shard_holder_(settings, election::kTermKey, holder_gateway_, seed_of(settings.name) | 1),
       partition_responder_(settings),
       heartbeat_handler_(settings, *this, shard_holder_, partition_responder_,
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -32,7 +32,7 @@
     bool drain_plans = false;  // drain plans, /admin/plans
 };
 
-class Controller : private HeartbeatHandler::Controller {
+class Controller : private HeartbeatHandler::Controller, private peers::PeerMessageHandler {
   public:
     Controller(uv_loop_t* loop, const wire::Settings& settings, const FeatureFlags& features);
 
@@ -76,8 +76,15 @@
     void on_machine_types(const std::vector<wire::MachineType>& types, bool from_cloud);
 
     // The back channel, and what this node holds for the leader.
-    void on_peer_status(const peers::Status& status);
-    void on_shard_grant(const peers::ShardGrant& grant);
+    void on_peer_status(const peers::Status& status) override;
+    void on_shard_grant(const peers::ShardGrant& grant) override;
+    void on_shard_status(const peers::ShardStatus& status) override;
+    void on_heartbeat_delegation(const peers::HeartbeatDelegation& delegation) override;
+    void on_role_assignment(const peers::RoleAssignment& assignment) override;
+    void on_delegated_request(const peers::DelegatedRequest& request) override;
+    void on_delegated_result(const peers::DelegatedResult& result) override;
+    void on_forwarded_heartbeat(const peers::ForwardedHeartbeat& heartbeat) override;
+    void on_forwarded_reply(const peers::ForwardedReply& reply) override;
     void broadcast_status();
     void update_shard_holder();
     wire::Json status() const;
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,5 +1,5 @@
-// What every connection does alike on libuv. A stream belongs to an owner held by shared_ptr; what
-// is under way holds it weakly, so that a connection may end in the middle.
+/// @file
+/// One TCP connection on libuv, as the HTTP client, the HTTP server and the peer network use it.
 #pragma once
 #include <uv.h>
 
@@ -7,94 +7,117 @@
 #include <string>
 #include <utility>
 
+#include "net/uv_handle.h"
+
 namespace nickelramp::net {
 
+/// A TCP connection that belongs to an owner held by shared_ptr. Operations under way hold the
+/// owner weakly, so that it may go away in the middle of them. To be used on the loop's thread
+/// only; closed by close() or by the destructor.
 class Stream {
   public:
-    explicit Stream(uv_loop_t* loop) : tcp_(new uv_tcp_t) { uv_tcp_init(loop, tcp_); }
+    explicit Stream(uv_loop_t* loop) : tcp_(loop, uv_tcp_init) {}
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
 
-    uv_stream_t* handle() const { return reinterpret_cast<uv_stream_t*>(tcp_); }
+    /// For uv_accept. Null once closed.
+    uv_stream_t* handle() const { return reinterpret_cast<uv_stream_t*>(tcp_.get()); }
 
-    // Empty if it is not connected.
+    /// The IPv4 address of this end; empty if it is not connected.
     std::string local_ip() const {
         sockaddr_in address{};
         int size = sizeof address;
         char text[INET_ADDRSTRLEN] = "";
-        if (uv_tcp_getsockname(tcp_, reinterpret_cast<sockaddr*>(&address), &size) == 0)
+        if (uv_tcp_getsockname(tcp_.get(), reinterpret_cast<sockaddr*>(&address), &size) == 0)
             uv_ip4_name(&address, text, sizeof text);
         return text;
     }
 
-    // Once only; the handle goes when libuv is through with it.
+    /// Nothing is read any more; writes under way fail. May be called again.
     void close() {
-        tcp_->data = nullptr;
-        uv_close(reinterpret_cast<uv_handle_t*>(tcp_),
-                 [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
+        if (tcp_.is_closed()) return;
+        tcp_.get()->data = nullptr;
+        tcp_.close();
     }
 
-    // Calls owner->on_bytes(data, n) for what comes; n < 0: it has ended. The owner lives during
-    // it.
+    /// Starts to call owner->on_bytes(data, size) for what arrives; a negative size is a libuv
+    /// error and says that the connection has ended. The owner is kept alive during the call, and
+    /// must close the stream before it goes away.
     template <typename Owner>
     void read(Owner* owner) {
-        tcp_->data = owner;
-        uv_tcp_nodelay(tcp_, 1);
+        tcp_.get()->data = owner;
+        uv_tcp_nodelay(tcp_.get(), 1);
         uv_read_start(
             handle(),
-            [](uv_handle_t*, std::size_t, uv_buf_t* buf) {
+            [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
+                // One for all streams: the owner consumes what is read before the next read.
                 static char shared[64 * 1024];
-                *buf = uv_buf_init(shared, sizeof shared);
+                *buffer = uv_buf_init(shared, sizeof shared);
             },
-            [](uv_stream_t* s, ssize_t n, const uv_buf_t* buf) {
-                auto* owner = static_cast<Owner*>(s->data);
-                if (owner == nullptr || n == 0) return;
-                auto keep = owner->shared_from_this();
-                owner->on_bytes(buf->base, n);
+            [](uv_stream_t* stream, ssize_t size, const uv_buf_t* buffer) {
+                auto* owner = static_cast<Owner*>(stream->data);
+                if (owner == nullptr || size == 0) return;
+                auto keep_alive = owner->shared_from_this();
+                owner->on_bytes(buffer->base, size);
             });
     }
 
-    // Calls done(owner, status, bytes) if the owner still lives then; false: it will not be.
+    /// Sends the data and then calls done(owner, status, size) if the owner still lives; a negative
+    /// status is a libuv error. False: nothing was sent, and `done` will not be called.
     template <typename Owner, typename Done>
-    bool write(std::weak_ptr<Owner> owner, std::string data, Done done) {
-        struct Write {
-            uv_write_t req;
+    [[nodiscard]] bool write(std::weak_ptr<Owner> owner, std::string data, Done done) {
+        struct WriteRequest {
+            uv_write_t request;
             std::string data;
             std::weak_ptr<Owner> owner;
             Done done;
         };
-        auto* w = new Write{{}, std::move(data), std::move(owner), std::move(done)};
-        w->req.data = w;
-        uv_buf_t buf = uv_buf_init(w->data.data(), static_cast<unsigned>(w->data.size()));
-        int rc = uv_write(&w->req, handle(), &buf, 1, [](uv_write_t* req, int status) {
-            std::unique_ptr<Write> w(static_cast<Write*>(req->data));
-            if (auto o = w->owner.lock()) w->done(*o, status, w->data.size());
-        });
-        if (rc < 0) delete w;
-        return rc >= 0;
+        if (tcp_.is_closed()) return false;
+        auto write = std::make_unique<WriteRequest>(
+            WriteRequest{{}, std::move(data), std::move(owner), std::move(done)});
+        write->request.data = write.get();
+        const uv_buf_t buffer =
+            uv_buf_init(write->data.data(), static_cast<unsigned>(write->data.size()));
+        const int error =
+            uv_write(&write->request, handle(), &buffer, 1, [](uv_write_t* request, int status) {
+                const std::unique_ptr<WriteRequest> ended(
+                    static_cast<WriteRequest*>(request->data));
+                if (auto alive = ended->owner.lock())
+                    ended->done(*alive, status, ended->data.size());
+            });
+        if (error < 0) return false;
+        static_cast<void>(write.release());  // its callback deletes it
+        return true;
     }
 
-    // Calls done(owner, status) if the owner still lives then; false: it will not be.
+    /// Connects and then calls done(owner, status) if the owner still lives; a negative status is
+    /// a libuv error. False: it failed at once, and `done` will not be called.
     template <typename Owner, typename Done>
-    bool connect(std::weak_ptr<Owner> owner, const sockaddr_in& address, Done done) {
-        struct Connect {
-            uv_connect_t req;
+    [[nodiscard]] bool connect(std::weak_ptr<Owner> owner, const sockaddr_in& address, Done done) {
+        struct ConnectRequest {
+            uv_connect_t request;
             std::weak_ptr<Owner> owner;
             Done done;
         };
-        auto* c = new Connect{{}, std::move(owner), std::move(done)};
-        c->req.data = c;
-        int rc = uv_tcp_connect(&c->req, tcp_, reinterpret_cast<const sockaddr*>(&address),
-                                [](uv_connect_t* req, int status) {
-                                    std::unique_ptr<Connect> c(static_cast<Connect*>(req->data));
-                                    if (auto o = c->owner.lock()) c->done(*o, status);
-                                });
-        if (rc < 0) delete c;
-        return rc >= 0;
+        if (tcp_.is_closed()) return false;
+        auto connect =
+            std::make_unique<ConnectRequest>(ConnectRequest{{}, std::move(owner), std::move(done)});
+        connect->request.data = connect.get();
+        const int error = uv_tcp_connect(&connect->request, tcp_.get(),
+                                         reinterpret_cast<const sockaddr*>(&address),
+                                         [](uv_connect_t* request, int status) {
+                                             const std::unique_ptr<ConnectRequest> ended(
+                                                 static_cast<ConnectRequest*>(request->data));
+                                             if (auto alive = ended->owner.lock())
+                                                 ended->done(*alive, status);
+                                         });
+        if (error < 0) return false;
+        static_cast<void>(connect.release());  // its callback deletes it
+        return true;
     }
 
   private:
-    uv_tcp_t* tcp_;
+    UvHandle<uv_tcp_t> tcp_;
 };
 
 }  // namespace nickelramp::net
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -2,6 +2,10 @@
 
 namespace nickelramp::peers {
 
+namespace {
+constexpr std::size_t kMaxVarintBytes = 10;  // of 64 bits
+}
+
 std::string frame(std::uint64_t kind, const Writer& message) {
     Writer head;
     head.number(kProtocolVersion);
@@ -11,43 +15,41 @@
     return length.bytes() + head.bytes() + message.bytes();
 }
 
-// Also where the stream ends with a whole frame, as it mostly does: it was once kept for as long as
-// the connection lasted.
+// Called whenever no whole frame is left, also where the stream ends with a whole one, as it mostly
+// does: the last frame was once kept for as long as the connection lasted.
 void Framer::discard_consumed() {
     buffer_.erase(0, consumed_);
     consumed_ = 0;
 }
 
+std::optional<Framer::Frame> Framer::fail() {
+    broken_ = true;
+    return std::nullopt;
+}
+
 std::optional<Framer::Frame> Framer::next() {
     if (broken_) return std::nullopt;
-    std::string_view rest = std::string_view(buffer_).substr(consumed_);
-    Reader length(rest);
-    std::uint64_t n = length.number();
-    if (!length.good()) {
-        broken_ = rest.size() >= 10;  // no length takes so many bytes
+    const std::string_view unread = std::string_view(buffer_).substr(consumed_);
+    Reader reader(unread);
+    const std::uint64_t length = reader.number();
+    if (!reader.good()) {
+        broken_ = unread.size() >= kMaxVarintBytes;  // otherwise the rest of it is still to come
         discard_consumed();
         return std::nullopt;
     }
-    if (n > kMaxFrameBytes) {
-        broken_ = true;
-        return std::nullopt;
-    }
-    if (length.remaining().size() < n) {
+    if (length > kMaxFrameBytes) return fail();
+    if (reader.remaining().size() < length) {
         discard_consumed();
         return std::nullopt;
     }
-    std::string_view body = length.remaining().substr(0, n);
-    consumed_ += rest.size() - length.remaining().size() + n;
-    Reader in(body);
-    Frame f;
-    f.version = in.number();
-    f.kind = in.number();
-    if (!in.good()) {
-        broken_ = true;
-        return std::nullopt;
-    }
-    f.body = std::string(in.remaining());
-    return f;
+    consumed_ += unread.size() - reader.remaining().size() + length;
+    Reader content(reader.remaining().substr(0, length));
+    Frame frame;
+    frame.version = content.number();
+    frame.kind = content.number();
+    if (!content.good()) return fail();
+    frame.body = std::string(content.remaining());
+    return frame;
 }
 
 }  // namespace nickelramp::peers
--- a/src/peers/codec.h
+++ b/src/peers/codec.h
@@ -1,12 +1,13 @@
-// The back channel's own codec. A stream of frames:
-//
-//   length  varint, of what follows; at most 64 KiB
-//   version varint
-//   kind    varint
-//   fields  varints (LEB128), texts (length and bytes), lists (count and items)
-//
-// A reader takes what it knows of a message; fields that a later version adds come last and are
-// passed over. Kinds that it does not know are passed over whole.
+/// @file
+/// The encoding of messages between controllers. A connection carries a stream of frames:
+///
+///     length   varint, of what follows; at most 64 KiB
+///     version  varint
+///     kind     varint, a MessageKind
+///     fields   varints (LEB128), texts (length and bytes), lists (count and items)
+///
+/// Compatibility: later versions append fields, which a reader ignores, and add kinds, which are
+/// dropped. These classes know nothing of the messages; field_codec.h does.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -18,52 +19,61 @@
 inline constexpr std::size_t kMaxFrameBytes = 64 * 1024;
 inline constexpr std::uint64_t kProtocolVersion = 1;
 
+/// Appends fields to a message's bytes.
 class Writer {
   public:
-    void number(std::uint64_t v) {
-        while (v >= 0x80) {
-            bytes_.push_back(static_cast<char>(v | 0x80));
-            v >>= 7;
+    void number(std::uint64_t value) {
+        while (value >= kContinuationBit) {
+            bytes_.push_back(static_cast<char>(value | kContinuationBit));
+            value >>= 7;
         }
-        bytes_.push_back(static_cast<char>(v));
+        bytes_.push_back(static_cast<char>(value));
     }
-    void text(std::string_view s) {
-        number(s.size());
-        bytes_.append(s);
+    void text(std::string_view value) {
+        number(value.size());
+        bytes_.append(value);
     }
     const std::string& bytes() const { return bytes_; }
 
   private:
+    static constexpr std::uint64_t kContinuationBit = 0x80;
+
     std::string bytes_;
 };
 
-// Reads never go past the end; after a bad read everything is zero or empty and `good` is false.
+/// Reads fields and never goes past the end. After a field that cannot be read, good() is false and
+/// all that is read is zero or empty.
 class Reader {
   public:
-    explicit Reader(std::string_view in) : remaining_(in) {}
+    explicit Reader(std::string_view bytes) : remaining_(bytes) {}
+
     std::uint64_t number() {
-        std::uint64_t v = 0;
+        std::uint64_t value = 0;
         for (int shift = 0; shift < 64; shift += 7) {
             if (remaining_.empty()) return fail();
-            auto b = static_cast<unsigned char>(remaining_.front());
+            const auto byte = static_cast<unsigned char>(remaining_.front());
             remaining_.remove_prefix(1);
-            if (shift == 63 && b > 1) return fail();
-            v |= static_cast<std::uint64_t>(b & 0x7f) << shift;
-            if ((b & 0x80) == 0) return v;
+            if (shift == 63 && byte > 1) return fail();  // beyond 64 bits
+            value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
+            if ((byte & 0x80) == 0) return value;
         }
         return fail();
     }
     std::string text() {
-        std::uint64_t n = number();
-        if (!good_ || n > remaining_.size()) return fail(), std::string();
-        std::string out(remaining_.substr(0, n));
-        remaining_.remove_prefix(n);
-        return out;
+        const std::uint64_t size = number();
+        if (!good_ || size > remaining_.size()) {
+            fail();
+            return "";
+        }
+        std::string value(remaining_.substr(0, size));
+        remaining_.remove_prefix(size);
+        return value;
     }
-    // The number of items to come; each takes at least one byte.
+    /// The number of items to come. Each takes at least one byte, so that a count beyond what
+    /// remains is an error; nobody allocates for it.
     std::uint64_t count() {
-        std::uint64_t n = number();
-        return n > remaining_.size() ? fail() : n;
+        const std::uint64_t items = number();
+        return items > remaining_.size() ? fail() : items;
     }
     bool good() const { return good_; }
     std::string_view remaining() const { return remaining_; }
@@ -74,26 +84,33 @@
         remaining_ = {};
         return 0;
     }
+
     std::string_view remaining_;
     bool good_ = true;
 };
 
-// A whole frame around a message's bytes.
+/// The frame of a message of this protocol version. `kind` is a MessageKind.
 std::string frame(std::uint64_t kind, const Writer& message);
 
-// Cuts frames out of a stream. `broken`: the stream cannot be followed any more.
+/// Cuts a stream of bytes into frames.
 class Framer {
   public:
     struct Frame {
         std::uint64_t version = 0, kind = 0;
         std::string body;
     };
+
     void add(std::string_view bytes) { buffer_.append(bytes); }
+    /// The next whole frame; nothing if more bytes are needed or the stream is broken.
     std::optional<Frame> next();
+    /// No frame boundary can be found any more: the connection is to be closed.
     bool broken() const { return broken_; }
-    std::size_t buffered_bytes() const { return buffer_.size(); }  // bytes, read ones included
+    /// Memory in use: bytes of frames that are not complete yet, and of those returned since the
+    /// buffer was last compacted.
+    std::size_t buffered_bytes() const { return buffer_.size(); }
 
   private:
+    std::optional<Frame> fail();
     void discard_consumed();
 
     std::string buffer_;
--- a/src/peers/messages.cpp
+++ b/src/peers/messages.cpp
@@ -1,260 +1,150 @@
 #include "peers/messages.h"
 
+#include "peers/field_codec.h"
+
 namespace nickelramp::peers {
 
-PeerFrame encode(const Status& status) {
-    Writer w;
-    w.text(status.from);
-    w.number(status.incarnation);
-    w.number(status.clock_ms);
-    w.number(status.term);
-    w.number(status.state_age_ms);
-    w.number(status.progress.size());
-    for (const auto& p : status.progress) {
-        w.text(p.id);
-        w.number(p.done);
-        w.number(p.running);
-    }
-    for (std::uint64_t v : {status.delegation_term, status.delegation_clock_ms,
-                            status.last_reply_age_ms, status.confirms_cancellations})
-        w.number(v);
-    w.number(status.lost_zones.size());
-    for (const auto& l : status.lost_zones) {
-        w.text(l.zone);
-        w.number(l.age_ms);
-    }
-    for (std::uint64_t v : {status.lease_id, status.heartbeat_term, status.sockets,
-                            status.worker_sockets, status.max_sockets})
-        w.number(v);
-    return {frame(static_cast<std::uint64_t>(MessageKind::status), w)};
+// Found by argument-dependent lookup from encode_frame and decode_body.
+
+template <typename Codec, MessageOf<Status> Message>
+static void visit_fields(Codec& codec, Message& status) {
+    codec.texts(status.from);
+    codec.numbers(status.incarnation, status.clock_ms, status.term, status.state_age_ms);
+    codec.list(status.progress, [&](auto& progress) {
+        codec.texts(progress.id);
+        codec.numbers(progress.done, progress.running);
+    });
+    if (!codec.has_more()) return;  // of a version without partition responders
+    codec.numbers(status.delegation_term, status.delegation_clock_ms, status.last_reply_age_ms,
+                  status.confirms_cancellations);
+    codec.list(status.lost_zones, [&](auto& lost) {
+        codec.texts(lost.zone);
+        codec.numbers(lost.age_ms);
+    });
+    if (!codec.has_more()) return;  // of a version without helpers
+    codec.numbers(status.lease_id);
+    if (!codec.has_more()) return;  // of a version without forwarding
+    codec.numbers(status.heartbeat_term, status.sockets, status.worker_sockets, status.max_sockets);
 }
 
-std::optional<Status> decode_status(std::string_view body) {
-    Reader r(body);
-    Status m;
-    m.from = r.text();
-    m.incarnation = r.number();
-    m.clock_ms = r.number();
-    m.term = r.number();
-    m.state_age_ms = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        Status::Progress p;
-        p.id = r.text();
-        p.done = r.number();
-        p.running = r.number();
-        m.progress.push_back(std::move(p));
-    }
-    if (!r.good() || m.from.empty()) return std::nullopt;
-    if (!r.remaining().empty()) {  // earlier versions end here
-        for (std::uint64_t* v : {&m.delegation_term, &m.delegation_clock_ms, &m.last_reply_age_ms,
-                                 &m.confirms_cancellations}) {
-            *v = r.number();
-        }
-        for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-            std::string zone = r.text();
-            m.lost_zones.push_back({std::move(zone), r.number()});
-        }
-        if (r.good() && !r.remaining().empty())
-            m.lease_id = r.number();               // and those before helpers here
-        if (r.good() && !r.remaining().empty()) {  // those before forwarding here
-            for (std::uint64_t* v :
-                 {&m.heartbeat_term, &m.sockets, &m.worker_sockets, &m.max_sockets})
-                *v = r.number();
-        }
-        if (!r.good()) return std::nullopt;
-    }
-    return m;
+template <typename Codec, MessageOf<ShardGrant> Message>
+static void visit_fields(Codec& codec, Message& grant) {
+    codec.texts(grant.from);
+    codec.numbers(grant.term, grant.term_version, grant.shard, grant.shard_version, grant.token,
+                  grant.incarnation, grant.status_clock_ms, grant.lease_ms, grant.view_age_ms);
+    codec.list(grant.machines, [&](auto& member) {
+        codec.texts(member.name, member.address, member.type, member.zone);
+        codec.flag(member.spot);
+    });
+    codec.list(grant.jobs, [&](auto& job) {
+        codec.texts(job.id);
+        codec.numbers(job.cancelled);
+    });
 }
 
-LeaderFrame encode(const ShardGrant& grant) {
-    Writer w;
-    w.text(grant.from);
-    for (std::uint64_t v :
-         {grant.term, grant.term_version, grant.shard, grant.shard_version, grant.token,
-          grant.incarnation, grant.status_clock_ms, grant.lease_ms, grant.view_age_ms}) {
-        w.number(v);
-    }
-    w.number(grant.machines.size());
-    for (const auto& member : grant.machines) {
-        w.text(member.name);
-        w.text(member.address);
-        w.text(member.type);
-        w.text(member.zone);
-        w.number(member.spot ? 1 : 0);
-    }
-    w.number(grant.jobs.size());
-    for (const auto& job : grant.jobs) {
-        w.text(job.id);
-        w.number(job.cancelled);
-    }
-    return {frame(static_cast<std::uint64_t>(MessageKind::shard_grant), w)};
+template <typename Codec, MessageOf<ShardStatus> Message>
+static void visit_fields(Codec& codec, Message& status) {
+    codec.texts(status.from);
+    codec.numbers(status.term, status.token);
+    codec.list(status.jobs, [&](auto& job) {
+        codec.texts(job.id);
+        codec.numbers(job.done, job.running, job.finished);
+    });
+    codec.list(status.unhealthy_machines, [&](auto& machine) { codec.texts(machine); });
 }
 
-std::optional<ShardGrant> decode_shard_grant(std::string_view body) {
-    Reader r(body);
-    ShardGrant grant;
-    grant.from = r.text();
-    for (std::uint64_t* v :
-         {&grant.term, &grant.term_version, &grant.shard, &grant.shard_version, &grant.token,
-          &grant.incarnation, &grant.status_clock_ms, &grant.lease_ms, &grant.view_age_ms}) {
-        *v = r.number();
-    }
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        shards::ShardMember member;
-        member.name = r.text();
-        member.address = r.text();
-        member.type = r.text();
-        member.zone = r.text();
-        member.spot = r.number() != 0;
-        grant.machines.push_back(std::move(member));
-    }
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        ShardGrant::Job job;
-        job.id = r.text();
-        job.cancelled = r.number();
-        grant.jobs.push_back(std::move(job));
-    }
-    if (!r.good() || grant.from.empty() || grant.token == 0) return std::nullopt;
-    return grant;
+template <typename Codec, MessageOf<HeartbeatDelegation> Message>
+static void visit_fields(Codec& codec, Message& delegation) {
+    codec.texts(delegation.from);
+    codec.numbers(delegation.term, delegation.incarnation, delegation.status_clock_ms,
+                  delegation.view_age_ms, delegation.clock_ms, delegation.response_window_ms,
+                  delegation.highest_token);
+    codec.list(delegation.delegated_tokens, [&](auto& token) { codec.numbers(token); });
 }
 
-PeerFrame encode(const ShardStatus& shard_status) {
-    Writer w;
-    w.text(shard_status.from);
-    w.number(shard_status.term);
-    w.number(shard_status.token);
-    w.number(shard_status.jobs.size());
-    for (const auto& job : shard_status.jobs) {
-        w.text(job.id);
-        w.number(job.done);
-        w.number(job.running);
-        w.number(job.finished);
-    }
-    w.number(shard_status.unhealthy_machines.size());
-    for (const auto& t : shard_status.unhealthy_machines) w.text(t);
-    return {frame(static_cast<std::uint64_t>(MessageKind::shard_status), w)};
+template <typename Codec, MessageOf<RoleAssignment> Message>
+static void visit_fields(Codec& codec, Message& assignment) {
+    codec.texts(assignment.from);
+    codec.numbers(assignment.term, assignment.incarnation, assignment.status_clock_ms,
+                  assignment.lease_ms);
+    codec.list(assignment.roles,
+               [&](auto& role) { codec.numbers(role.number, role.fence, role.lease_id); });
 }
 
-std::optional<ShardStatus> decode_shard_status(std::string_view body) {
-    Reader r(body);
-    ShardStatus shard_status;
-    shard_status.from = r.text();
-    shard_status.term = r.number();
-    shard_status.token = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        ShardStatus::Job job;
-        job.id = r.text();
-        job.done = r.number();
-        job.running = r.number();
-        job.finished = r.number();
-        shard_status.jobs.push_back(std::move(job));
-    }
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n)
-        shard_status.unhealthy_machines.push_back(r.text());
-    if (!r.good() || shard_status.from.empty()) return std::nullopt;
-    return shard_status;
+template <typename Codec, MessageOf<DelegatedRequest> Message>
+static void visit_fields(Codec& codec, Message& request) {
+    codec.texts(request.from);
+    codec.numbers(request.sequence, request.incarnation, request.role, request.fence);
+    codec.texts(request.request, request.type, request.zone);
+    codec.numbers(request.spot, request.count);
+    codec.list(request.machines, [&](auto& machine) { codec.texts(machine); });
 }
 
-LeaderFrame encode(const HeartbeatDelegation& delegation) {
-    Writer w;
-    w.text(delegation.from);
-    for (std::uint64_t v : {delegation.term, delegation.incarnation, delegation.status_clock_ms,
-                            delegation.view_age_ms, delegation.clock_ms,
-                            delegation.response_window_ms, delegation.highest_token}) {
-        w.number(v);
-    }
-    w.number(delegation.delegated_tokens.size());
-    for (std::uint64_t token : delegation.delegated_tokens) w.number(token);
-    return {frame(static_cast<std::uint64_t>(MessageKind::heartbeat_delegation), w)};
+template <typename Codec, MessageOf<DelegatedResult> Message>
+static void visit_fields(Codec& codec, Message& result) {
+    codec.texts(result.from);
+    codec.numbers(result.sequence, result.result);
+    codec.list(result.machines, [&](auto& machine) { codec.texts(machine); });
 }
 
-std::optional<HeartbeatDelegation> decode_heartbeat_delegation(std::string_view body) {
-    Reader r(body);
-    HeartbeatDelegation delegation;
-    delegation.from = r.text();
-    for (std::uint64_t* v : {&delegation.term, &delegation.incarnation, &delegation.status_clock_ms,
-                             &delegation.view_age_ms, &delegation.clock_ms,
-                             &delegation.response_window_ms, &delegation.highest_token}) {
-        *v = r.number();
-    }
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n)
-        delegation.delegated_tokens.push_back(r.number());
-    if (!r.good() || delegation.from.empty() || delegation.term == 0) return std::nullopt;
-    return delegation;
+PeerFrame encode(const Status& status) { return {encode_frame(MessageKind::status, status)}; }
+
+PeerFrame encode(const ShardStatus& status) {
+    return {encode_frame(MessageKind::shard_status, status)};
 }
 
-LeaderFrame encode(const RoleAssignment& assignment) {
-    Writer w;
-    w.text(assignment.from);
-    for (std::uint64_t v :
-         {assignment.term, assignment.incarnation, assignment.status_clock_ms, assignment.lease_ms})
-        w.number(v);
-    w.number(assignment.roles.size());
-    for (const auto& role : assignment.roles) {
-        for (std::uint64_t v : {role.number, role.fence, role.lease_id}) w.number(v);
-    }
-    return {frame(static_cast<std::uint64_t>(MessageKind::role_assignment), w)};
+PeerFrame encode(const DelegatedResult& result) {
+    return {encode_frame(MessageKind::delegated_result, result)};
 }
 
-std::optional<RoleAssignment> decode_role_assignment(std::string_view body) {
-    Reader r(body);
-    RoleAssignment assignment;
-    assignment.from = r.text();
-    for (std::uint64_t* v : {&assignment.term, &assignment.incarnation, &assignment.status_clock_ms,
-                             &assignment.lease_ms})
-        *v = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        RoleAssignment::AssignedRole role;
-        for (std::uint64_t* v : {&role.number, &role.fence, &role.lease_id}) *v = r.number();
-        assignment.roles.push_back(role);
-    }
-    if (!r.good() || assignment.from.empty() || assignment.term == 0) return std::nullopt;
-    return assignment;
+LeaderFrame encode(const ShardGrant& grant) {
+    return {encode_frame(MessageKind::shard_grant, grant)};
+}
+
+LeaderFrame encode(const HeartbeatDelegation& delegation) {
+    return {encode_frame(MessageKind::heartbeat_delegation, delegation)};
+}
+
+LeaderFrame encode(const RoleAssignment& assignment) {
+    return {encode_frame(MessageKind::role_assignment, assignment)};
 }
 
 LeaderFrame encode(const DelegatedRequest& request) {
-    Writer w;
-    w.text(request.from);
-    for (std::uint64_t v : {request.sequence, request.incarnation, request.role, request.fence})
-        w.number(v);
-    for (const std::string* t : {&request.request, &request.type, &request.zone}) w.text(*t);
-    for (std::uint64_t v : {request.spot, request.count}) w.number(v);
-    w.number(request.machines.size());
-    for (const auto& name : request.machines) w.text(name);
-    return {frame(static_cast<std::uint64_t>(MessageKind::delegated_request), w)};
+    return {encode_frame(MessageKind::delegated_request, request)};
 }
 
-std::optional<DelegatedRequest> decode_delegated_request(std::string_view body) {
-    Reader r(body);
-    DelegatedRequest request;
-    request.from = r.text();
-    for (std::uint64_t* v :
-         {&request.sequence, &request.incarnation, &request.role, &request.fence})
-        *v = r.number();
-    for (std::string* t : {&request.request, &request.type, &request.zone}) *t = r.text();
-    for (std::uint64_t* v : {&request.spot, &request.count}) *v = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) request.machines.push_back(r.text());
-    if (!r.good() || request.from.empty() || request.fence == 0) return std::nullopt;
-    return request;
+std::optional<Status> decode_status(std::string_view body) { return decode_body<Status>(body); }
+
+std::optional<ShardGrant> decode_shard_grant(std::string_view body) {
+    auto grant = decode_body<ShardGrant>(body);
+    if (grant && grant->token == 0) return std::nullopt;
+    return grant;
 }
 
-PeerFrame encode(const DelegatedResult& result) {
-    Writer w;
-    w.text(result.from);
-    for (std::uint64_t v : {result.sequence, result.result}) w.number(v);
-    w.number(result.machines.size());
-    for (const auto& name : result.machines) w.text(name);
-    return {frame(static_cast<std::uint64_t>(MessageKind::delegated_result), w)};
+std::optional<ShardStatus> decode_shard_status(std::string_view body) {
+    return decode_body<ShardStatus>(body);
+}
+
+std::optional<HeartbeatDelegation> decode_heartbeat_delegation(std::string_view body) {
+    auto delegation = decode_body<HeartbeatDelegation>(body);
+    if (delegation && delegation->term == 0) return std::nullopt;
+    return delegation;
+}
+
+std::optional<RoleAssignment> decode_role_assignment(std::string_view body) {
+    auto assignment = decode_body<RoleAssignment>(body);
+    if (assignment && assignment->term == 0) return std::nullopt;
+    return assignment;
+}
+
+std::optional<DelegatedRequest> decode_delegated_request(std::string_view body) {
+    auto request = decode_body<DelegatedRequest>(body);
+    if (request && request->fence == 0) return std::nullopt;
+    return request;
 }
 
 std::optional<DelegatedResult> decode_delegated_result(std::string_view body) {
-    Reader r(body);
-    DelegatedResult result;
-    result.from = r.text();
-    for (std::uint64_t* v : {&result.sequence, &result.result}) *v = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) result.machines.push_back(r.text());
-    if (!r.good() || result.from.empty()) return std::nullopt;
-    return result;
+    return decode_body<DelegatedResult>(body);
 }
 
 }  // namespace nickelramp::peers
--- a/src/peers/peer_network.h
+++ b/src/peers/peer_network.h
@@ -1,78 +1,91 @@
-// The back channel: one connection to every peer for what this node says, and those that peers
-// opened for what they say. Messages may be lost whenever a connection is.
+/// @file
+/// The connections between controllers.
 #pragma once
 #include <uv.h>
 
-#include <functional>
-#include <map>
+#include <compare>
+#include <cstdint>
 #include <memory>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "base/time.h"
 #include "lease/lease_guard.h"
 #include "net/timer.h"
+#include "net/uv_handle.h"
 #include "peers/codec.h"
-#include "peers/forwarding.h"
 #include "peers/messages.h"
+#include "peers/peer_connection.h"
+#include "peers/peer_message_handler.h"
 #include "wire/settings.h"
 
 namespace nickelramp::peers {
 
-class PeerNetwork {
+/// Keeps one outgoing connection to every peer, on which this controller sends, and accepts the
+/// connections on which the peers send. Lost connections are opened again every second; what was
+/// under way on them is lost. The controller owns it. To be used on the loop's thread only.
+class PeerNetwork : private PeerConnection::Listener {
   public:
-    struct Hooks {
-        std::function<void(const Status&)> status;
-        std::function<void(const ShardGrant&)> shard_grant;
-        std::function<void(const ShardStatus&)> shard_status;
-        std::function<void(const HeartbeatDelegation&)> heartbeat_delegation;
-        std::function<void(const RoleAssignment&)> role_assignment;
-        std::function<void(const DelegatedRequest&)> delegated_request;
-        std::function<void(const DelegatedResult&)> delegated_result;
-        std::function<void(const ForwardedHeartbeat&)> forwarded_heartbeat;
-        std::function<void(const ForwardedReply&)> forwarded_reply;
-    };
-    PeerNetwork(uv_loop_t* loop, const std::vector<wire::Peer>& peers, Hooks hooks);
+    /// The handler must outlive the network; it is called from the loop once listen() succeeded.
+    PeerNetwork(uv_loop_t* loop, const std::vector<wire::Peer>& peers, PeerMessageHandler& handler);
     ~PeerNetwork();
     PeerNetwork(const PeerNetwork&) = delete;
     PeerNetwork& operator=(const PeerNetwork&) = delete;
 
-    int listen(const sockaddr_in& address);
-    // Sent if the peer can be reached now, dropped otherwise.
-    void send(const std::string& peer, const PeerFrame& speech);
-    void send_all(const PeerFrame& speech);
-    // For messages that come in numbers: what one turn of the loop brings goes out in one write.
-    // False: the peer cannot be reached, or does not keep up; nothing is sent then.
-    bool send_batched(const std::string& peer, const PeerFrame& speech);
-    // False: the right is over, or the peer cannot be reached.
-    bool send(const lease::LeaseProof<lease::Scheduling>& permit, const std::string& peer,
-              const LeaderFrame& queue);
+    /// Accepts connections at the address and connects to the peers. 0 or a libuv error.
+    [[nodiscard]] int listen(const sockaddr_in& address);
+
+    /// Sends the frame if the peer is connected, and drops it otherwise.
+    void send(const std::string& peer, const PeerFrame& frame);
+    void send_all(const PeerFrame& frame);
+    /// Sends all frames that were given in one turn of the loop in one write. For heartbeats, which
+    /// come in great numbers. False, and nothing is sent, if the peer is not connected or does not
+    /// keep up, or the frame is too large.
+    [[nodiscard]] bool send_batched(const std::string& peer, const PeerFrame& frame);
+    /// False, and nothing is sent, if the lease is over or the peer is not connected.
+    bool send(const lease::LeaseProof<lease::Scheduling>& proof, const std::string& peer,
+              const LeaderFrame& frame);
 
   private:
-    struct Connection;  // one connection
+    /// One of the controllers that this one connects to.
+    struct Target {
+        std::string name;
+        sockaddr_in address;
+        std::shared_ptr<PeerConnection> connection;
+        Millis connect_deadline = 0;
+    };
+    enum class DropReason { broken_stream, unreadable, unknown_kind };
+    struct Drop {
+        DropReason reason;
+        std::uint64_t kind;  // 0: none
+        auto operator<=>(const Drop&) const = default;
+    };
+
+    void on_frame(const Framer::Frame& frame) override;
+    void on_batch_started(PeerConnection& connection) override;
+    void on_broken_stream() override;
+    void on_ended(PeerConnection& connection) override;
 
+    std::shared_ptr<PeerConnection> make_connection();
     void accept();
-    void connect(std::size_t i);
-    void deliver(const Framer::Frame& f);
-    void reject(const std::string& cause);
-    template <typename Message>
-    void deliver_as(const std::optional<Message>& message,
-                    const std::function<void(const Message&)>& hook, const char* what);
-    Connection* connection_to(const std::string& peer) const;
-    void flush();
+    void connect_all();
+    void connect(Target& target);
+    PeerConnection* open_connection(const std::string& peer) const;
+    void flush_batches();
+    void log_drop_once(const Drop& drop);
 
     uv_loop_t* loop_;
-    std::vector<wire::Peer> peers_;
-    Hooks hooks_;
-    uv_tcp_t* listener_;
-    std::vector<std::shared_ptr<Connection>> outgoing_;  // by peer
-    std::set<std::shared_ptr<Connection>> incoming_;
-    std::set<std::string> logged_causes_;  // logged once per cause
+    PeerMessageHandler& handler_;
+    net::UvHandle<uv_tcp_t> listener_;
+    std::vector<Target> targets_;
+    std::set<std::shared_ptr<PeerConnection>> incoming_;
+    std::set<Drop> logged_drops_;
     net::Timer reconnect_timer_;
-    // Offered messages go out after the loop has read, and before it waits.
-    uv_check_t* after_reading_;
-    uv_prepare_t* before_waiting_;
-    std::vector<std::weak_ptr<Connection>> to_flush_;
+    // Batches are flushed after the loop has read, and before it waits.
+    net::UvHandle<uv_check_t> after_reading_;
+    net::UvHandle<uv_prepare_t> before_waiting_;
+    std::vector<std::weak_ptr<PeerConnection>> batches_;
 };
 
 }  // namespace nickelramp::peers
