--- a/src/controller/peer_coordinator.cpp
+++ b/src/controller/peer_coordinator.cpp
@@ -22,39 +22,13 @@
 
 PeerCoordinator::PeerCoordinator(const Dependencies& dependencies)
     : parts_(dependencies),
-      network_(dependencies.clock.loop(), dependencies.settings.peers, network_hooks()) {}
+      network_(dependencies.clock.loop(), dependencies.settings.peers, *this) {}
 
 int PeerCoordinator::listen() {
     return network_.listen(*net::parse_address(parts_.settings.peer_listen));
 }
 
-peers::PeerNetwork::Hooks PeerCoordinator::network_hooks() {
-    return {
-        [this](const peers::Status& status) { on_status(status); },
-        [this](const peers::ShardGrant& grant) { on_shard_grant(grant); },
-        [this](const peers::ShardStatus& status) { on_shard_status(status); },
-        [this](const peers::HeartbeatDelegation& delegation) {
-            on_heartbeat_delegation(delegation);
-        },
-        [this](const peers::RoleAssignment& assignment) {
-            parts_.role_manager.on_assignment(assignment, parts_.clock.now());
-        },
-        [this](const peers::DelegatedRequest& request) {
-            parts_.role_manager.on_delegated_request(request, parts_.clock.now());
-        },
-        [this](const peers::DelegatedResult& result) {
-            parts_.role_manager.on_delegated_result(result, parts_.clock.now());
-        },
-        [this](const peers::ForwardedHeartbeat& heartbeat) {
-            parts_.heartbeat_handler.on_forwarded_heartbeat(heartbeat);
-        },
-        [this](const peers::ForwardedReply& reply) {
-            parts_.heartbeat_handler.on_forwarded_reply(reply);
-        },
-    };
-}
-
-void PeerCoordinator::on_status(const peers::Status& status) {
+void PeerCoordinator::on_peer_status(const peers::Status& status) {
     const Millis now = parts_.clock.now();
     parts_.role_manager.on_status(status, now);
     parts_.heartbeat_handler.on_peer_status(status, now);
@@ -94,6 +68,26 @@
                                              now);
 }
 
+void PeerCoordinator::on_role_assignment(const peers::RoleAssignment& assignment) {
+    parts_.role_manager.on_assignment(assignment, parts_.clock.now());
+}
+
+void PeerCoordinator::on_delegated_request(const peers::DelegatedRequest& request) {
+    parts_.role_manager.on_delegated_request(request, parts_.clock.now());
+}
+
+void PeerCoordinator::on_delegated_result(const peers::DelegatedResult& result) {
+    parts_.role_manager.on_delegated_result(result, parts_.clock.now());
+}
+
+void PeerCoordinator::on_forwarded_heartbeat(const peers::ForwardedHeartbeat& heartbeat) {
+    parts_.heartbeat_handler.on_forwarded_heartbeat(heartbeat);
+}
+
+void PeerCoordinator::on_forwarded_reply(const peers::ForwardedReply& reply) {
+    parts_.heartbeat_handler.on_forwarded_reply(reply);
+}
+
 void PeerCoordinator::broadcast_if_due() {
     const Millis now = parts_.clock.now();
     if (now < next_broadcast_at_) return;
--- a/src/controller/peer_coordinator.h
+++ b/src/controller/peer_coordinator.h
@@ -14,6 +14,7 @@
 #include "controller/term_runner.h"
 #include "kvstore/client.h"
 #include "partition/partition_responder.h"
+#include "peers/peer_message_handler.h"
 #include "peers/peer_network.h"
 #include "roles/role_manager.h"
 #include "wire/settings.h"
@@ -25,7 +26,7 @@
 /// shard holder it reports to the leader. Received messages are handed to the parts that handle
 /// them. Messages may be lost: each is repeated by its sender's next broadcast or times out there.
 /// What only a leader may send goes out only while its lease lasts. Runs on the loop's thread.
-class PeerCoordinator {
+class PeerCoordinator : private peers::PeerMessageHandler {
   public:
     /// The parts that send or receive through the peers; all must outlive the coordinator.
     struct Dependencies {
@@ -68,13 +69,18 @@
     void hand_over_lost_zones(control::ControlLoop& control_loop);
 
   private:
-    peers::PeerNetwork::Hooks network_hooks();
-    void on_status(const peers::Status& status);
-    void on_leader_status(const peers::Status& status);
-    void on_shard_grant(const peers::ShardGrant& grant);
-    void on_shard_status(const peers::ShardStatus& status);
-    void on_heartbeat_delegation(const peers::HeartbeatDelegation& delegation);
+    // peers::PeerMessageHandler
+    void on_peer_status(const peers::Status& status) override;
+    void on_shard_grant(const peers::ShardGrant& grant) override;
+    void on_shard_status(const peers::ShardStatus& status) override;
+    void on_heartbeat_delegation(const peers::HeartbeatDelegation& delegation) override;
+    void on_role_assignment(const peers::RoleAssignment& assignment) override;
+    void on_delegated_request(const peers::DelegatedRequest& request) override;
+    void on_delegated_result(const peers::DelegatedResult& result) override;
+    void on_forwarded_heartbeat(const peers::ForwardedHeartbeat& heartbeat) override;
+    void on_forwarded_reply(const peers::ForwardedReply& reply) override;
 
+    void on_leader_status(const peers::Status& status);
     void broadcast();
     [[nodiscard]] peers::Status make_status() const;
     void send_heartbeat_delegations();
