--- a/src/base/deadline_queue.h
+++ b/src/base/deadline_queue.h
@@ -1,8 +1,9 @@
-// When each of many things, named by a dense index, wants to be looked at next: a tick then costs
-// what is due, not what there is.
+/// @file
+/// When each of many things, named by a dense index, is to be looked at next. A timer tick then
+/// costs what is due and not what there is.
 #pragma once
+#include <compare>
 #include <set>
-#include <utility>
 #include <vector>
 
 #include "base/names.h"
@@ -10,33 +11,45 @@
 
 namespace nickelramp {
 
+/// At most one deadline for each index, the earliest that was asked for. Times are passed by the
+/// caller.
 class DeadlineQueue {
   public:
-    // Look at it by then; an earlier date that was set already stays.
-    void schedule(Index i, Millis at) {
+    /// Sets the deadline of the index, unless it has an earlier one. kNever sets none.
+    void schedule(Index index, Millis at) {
         if (at >= kNever) return;
-        if (i >= deadlines_.size()) deadlines_.resize(i + 1, kNever);
-        if (deadlines_[i] <= at) return;
-        cancel(i);
-        deadlines_[i] = at;
-        queue_.emplace(at, i);
+        if (index >= deadlines_.size()) deadlines_.resize(index + 1, kNever);
+        if (deadlines_[index] <= at) return;
+        cancel(index);
+        deadlines_[index] = at;
+        queue_.insert({at, index});
     }
-    void cancel(Index i) {
-        if (i >= deadlines_.size() || deadlines_[i] == kNever) return;
-        queue_.erase({deadlines_[i], i});
-        deadlines_[i] = kNever;
+
+    /// Removes the deadline of the index, if it has one.
+    void cancel(Index index) {
+        if (index >= deadlines_.size() || deadlines_[index] == kNever) return;
+        queue_.erase({deadlines_[index], index});
+        deadlines_[index] = kNever;
     }
-    // The next that is due, taken out; kNone when nothing is.
-    Index pop_due(Millis now) {
-        if (queue_.empty() || queue_.begin()->first > now) return kNone;
-        Index i = queue_.begin()->second;
-        cancel(i);
-        return i;
+
+    /// Removes the earliest deadline that is due and returns its index, the lowest of those with
+    /// the same deadline; kNone when none is due.
+    [[nodiscard]] Index pop_due(Millis now) {
+        if (queue_.empty() || queue_.begin()->at > now) return kNone;
+        const Index index = queue_.begin()->index;
+        cancel(index);
+        return index;
     }
 
   private:
-    std::set<std::pair<Millis, Index>> queue_;
-    std::vector<Millis> deadlines_;  // by index; kNever: no date
+    struct Deadline {
+        Millis at;
+        Index index;
+        auto operator<=>(const Deadline&) const = default;
+    };
+
+    std::set<Deadline> queue_;
+    std::vector<Millis> deadlines_;  // by index; kNever: none
 };
 
 }  // namespace nickelramp
--- a/src/placement/free_capacity_index.h
+++ b/src/placement/free_capacity_index.h
@@ -1,12 +1,13 @@
-// The machines that may be given tasks and have something free, shelved by kind and by what is
-// free: a search costs what fits, not what there is.
+/// @file
+/// Index of the machines that accept tasks and have free resources, ordered by machine kind, whole
+/// gpus and cpus. A search costs what fits, not what there is.
 #pragma once
 #include <algorithm>
 #include <cmath>
+#include <compare>
+#include <cstddef>
 #include <map>
 #include <set>
-#include <tuple>
-#include <utility>
 #include <vector>
 
 #include "cloud/machine_kind.h"
@@ -14,47 +15,57 @@
 
 namespace nickelramp::placement {
 
+/// Written by cluster::ClusterState after every change of a machine; read by the scheduler and
+/// whoever else looks for room.
 class FreeCapacityIndex {
   public:
     using MachineKind = cloud::MachineKind;
 
-    // The machine has this much free now.
+    /// The machine has this much free now.
     void update(Index machine, const MachineKind& kind, double cpus, double gpus) {
         if (machine >= entries_.size()) entries_.resize(machine + 1);
-        Entry& placement = entries_[machine];
-        std::size_t level = gpu_level(gpus);
-        if (placement.present && placement.kind == kind && placement.level == level &&
-            placement.cpus == cpus)
+        Entry& entry = entries_[machine];
+        const std::size_t level = gpu_level(gpus);
+        if (entry.present && entry.kind == kind && entry.level == level && entry.cpus == cpus)
             return;
         remove(machine);
-        placement = {kind, level, cpus, true};
-        Shelf& shelf = shelves_by_kind_[kind];
-        if (shelf.size() <= level) shelf.resize(level + 1);
-        shelf[level].emplace(cpus, machine);
+        entry = {kind, level, cpus, true};
+        Levels& levels = levels_by_kind_[kind];
+        if (levels.size() <= level) levels.resize(level + 1);
+        levels[level].insert({cpus, machine});
     }
+
+    /// The machine has nothing free, or accepts no tasks.
     void remove(Index machine) {
         if (machine >= entries_.size() || !entries_[machine].present) return;
-        Entry& placement = entries_[machine];
-        shelves_by_kind_[placement.kind][placement.level].erase({placement.cpus, machine});
-        placement.present = false;
+        Entry& entry = entries_[machine];
+        levels_by_kind_[entry.kind][entry.level].erase({entry.cpus, machine});
+        entry.present = false;
     }
-    // Calls f(machine) for those of the kinds that `wanted(kind)` picks that have enough cpus and
-    // gpus in whole numbers, the fullest first, until f says no. What exactly fits is the caller's
-    // to compare.
-    template <typename Wanted, typename F>
-    void for_each_candidate(const Need& need, Wanted wanted, F f) const {
-        for (const auto& [kind, shelf] : shelves_by_kind_) {
+
+    /// Calls visit(machine) for the machines of the kinds for which wanted(kind) holds that have
+    /// enough cpus and whole gpus; those with the least free first within a kind. When visit
+    /// returns false, the rest of that kind is skipped. Fractions of gpus and memory are for the
+    /// caller to compare. The index must not change meanwhile.
+    template <typename Wanted, typename Visit>
+    void for_each_candidate(const Need& need, Wanted wanted, Visit visit) const {
+        for (const auto& [kind, levels] : levels_by_kind_) {
             if (!wanted(kind)) continue;
             bool more = true;
-            for (std::size_t level = gpu_level(need.gpus); level < shelf.size() && more; ++level) {
-                auto it = shelf[level].lower_bound({need.cpus - kFitTolerance, 0});
-                for (; it != shelf[level].end() && more; ++it) more = f(it->second);
+            for (std::size_t level = gpu_level(need.gpus); level < levels.size() && more; ++level) {
+                auto it = levels[level].lower_bound({need.cpus - kFitTolerance, 0});
+                for (; it != levels[level].end() && more; ++it) more = visit(it->machine);
             }
         }
     }
 
   private:
-    using Shelf = std::vector<std::set<std::pair<double, Index>>>;  // by whole gpus free
+    struct FreeCpus {
+        double cpus;
+        Index machine;
+        auto operator<=>(const FreeCpus&) const = default;
+    };
+    using Levels = std::vector<std::set<FreeCpus>>;  // by whole gpus free
     struct Entry {
         MachineKind kind;
         std::size_t level = 0;
@@ -62,12 +73,15 @@
         bool present = false;
     };
     static constexpr std::size_t kMaxLevels = 256;
+
     static std::size_t gpu_level(double gpus) {
-        return std::min<std::size_t>(kMaxLevels, static_cast<std::size_t>(std::max(
-                                                     0.0, std::floor(gpus + 2 * kFitTolerance))));
+        // Twice the tolerance, so that no machine that fits by fits_within() is a level too low.
+        const double whole = std::max(0.0, std::floor(gpus + 2 * kFitTolerance));
+        return std::min(kMaxLevels, static_cast<std::size_t>(whole));
     }
-    std::map<MachineKind, Shelf> shelves_by_kind_;
-    std::vector<Entry> entries_;
+
+    std::map<MachineKind, Levels> levels_by_kind_;
+    std::vector<Entry> entries_;  // by machine
 };
 
 }  // namespace nickelramp::placement
--- a/src/placement/placement_cost.cpp
+++ b/src/placement/placement_cost.cpp
@@ -6,92 +6,112 @@
 namespace nickelramp::placement {
 
 namespace {
-// Seconds that one would wait to save the price of one more ordinary place: a replica stays, an
-// array's task is soon over.
-constexpr double kDearForLong = 20;
-constexpr double kDearForShort = 3;
+// Seconds worth waiting to save the price of one on-demand slot of the cheapest type. A replica
+// runs for long, other tasks are soon over.
+constexpr double kServiceCostWeightS = 20;
+constexpr double kTaskCostWeightS = 3;
+
+// An image whose fetch is under way is taken to need this share of a whole fetch.
+constexpr double kFetchRemaining = 0.6;
+// Each other fetch under way slows a fetch down by this share: they share the machine's rate.
+constexpr double kFetchSlowdown = 0.5;
+
+constexpr double kEmptyMachineCostS = 4;     // of a machine that the task leaves empty
+constexpr double kSpotJobOnDemandCostS = 3;  // of an on-demand machine for a job that may use spot
+constexpr double kMinFetchRate = 0.01;       // GB/s, where the cloud states less or nothing
+constexpr std::uint32_t kMaxSlots = 1024;    // counted on one machine
+
+std::uint64_t fetches_under_way(const machines::Machine& machine) {
+    return static_cast<std::uint64_t>(
+        std::count_if(machine.images.begin(), machine.images.end(),
+                      [](const machines::CachedImage& cached) { return !cached.present; }));
+}
+
+// Drops least recently used images, but not `keep`, until the rest fits or only one is left.
+void drop_oldest_images(machines::Machine& machine, double cache_gb, Index keep) {
+    double used_gb = 0;
+    for (const machines::CachedImage& cached : machine.images) used_gb += cached.size_gb;
+    while (used_gb > cache_gb && machine.images.size() > 1) {
+        auto oldest = std::min_element(
+            machine.images.begin(), machine.images.end(),
+            [](const auto& a, const auto& b) { return a.last_used_at < b.last_used_at; });
+        if (oldest->image == keep) return;
+        used_gb -= oldest->size_gb;
+        machine.images.erase(oldest);
+    }
+}
 }  // namespace
 
 std::uint32_t tasks_that_fit(double cpus, double gpus, double memory_gb, const Need& need,
                              std::uint32_t limit) {
-    std::uint32_t k = 0;
-    while (k < limit && fits_within(cpus, gpus, memory_gb, need)) {
+    std::uint32_t tasks = 0;
+    while (tasks < limit && fits_within(cpus, gpus, memory_gb, need)) {
         cpus -= need.cpus;
         gpus -= need.gpus;
         memory_gb -= need.memory_gb;
-        ++k;
+        ++tasks;
     }
-    return k;
+    return tasks;
 }
 
 std::uint32_t slots_on(const wire::MachineType& type, const Need& need) {
-    constexpr std::uint32_t kMost = 1024;
-    return tasks_that_fit(type.cpus, type.gpus, type.memory_gb, need, kMost);
+    return tasks_that_fit(type.cpus, type.gpus, type.memory_gb, need, kMaxSlots);
 }
 
 double hourly_cost_per_task(const wire::MachineType& type, bool spot, const Need& need) {
-    std::uint32_t places = slots_on(type, need);
-    if (places == 0) return std::numeric_limits<double>::infinity();
-    return (spot ? type.spot_price : type.price) / places;
+    const std::uint32_t slots = slots_on(type, need);
+    if (slots == 0) return std::numeric_limits<double>::infinity();
+    return (spot ? type.spot_price : type.price) / slots;
 }
 
 double image_fetch_s(const jobs::Job& job, const wire::MachineType& type) {
-    return job.spec.image_gb / std::max(0.01, type.fetch_gb_per_s);
+    return job.spec.image_gb / std::max(kMinFetchRate, type.fetch_gb_per_s);
 }
 
 double image_wait_s(const jobs::Job& job, const machines::Machine& machine,
                     const wire::MachineType& type) {
-    const double fetch = image_fetch_s(job, type);
-    int fetching = 0;
-    for (const machines::CachedImage& c : machine.images) {
-        if (c.image == job.image) return c.present ? 0 : fetch * 0.6;
-        if (!c.present) ++fetching;
+    const double fetch_s = image_fetch_s(job, type);
+    for (const machines::CachedImage& cached : machine.images) {
+        if (cached.image == job.image) return cached.present ? 0 : fetch_s * kFetchRemaining;
     }
-    return fetch * (1.0 + 0.5 * fetching);  // fetches share the rate
+    return fetch_s * (1.0 + kFetchSlowdown * static_cast<double>(fetches_under_way(machine)));
 }
 
 double placement_cost(const jobs::Job& job, const machines::Machine& machine,
                       const wire::MachineType& type) {
-    double total = image_wait_s(job, machine, type);
-    // Fill machines that are nearly full first: whole ones stay free for gangs and for the cloud.
-    double left = type.gpus > 0 && job.spec.gpus > 0
-                      ? (machine.gpus_free - job.spec.gpus) / type.gpus
-                      : (machine.cpus_free - job.spec.cpus) / std::max(1.0, type.cpus);
-    total += 4.0 * std::max(0.0, left);
-    // A place that costs a multiple of what the work is worth pays for what it does not use.
-    total += (job.is_service() ? kDearForLong : kDearForShort) *
-             std::max(0.0, job.relative_cost_of(machine.type, machine.spot) - 1.0);
-    // Jobs that may use spot machines leave the ordinary ones to those that may not.
-    if (job.spec.spot && !machine.spot) total += 3.0;
-    return total;
+    double cost_s = image_wait_s(job, machine, type);
+    // Machines that are nearly full are filled first: empty ones stay free for gangs, and can be
+    // released.
+    const double share_left = type.gpus > 0 && job.spec.gpus > 0
+                                  ? (machine.gpus_free - job.spec.gpus) / type.gpus
+                                  : (machine.cpus_free - job.spec.cpus) / std::max(1.0, type.cpus);
+    cost_s += kEmptyMachineCostS * std::max(0.0, share_left);
+    // An expensive slot has resources that the task pays for and does not use.
+    cost_s += (job.is_service() ? kServiceCostWeightS : kTaskCostWeightS) *
+              std::max(0.0, job.relative_cost_of(machine.type, machine.spot) - 1.0);
+    // Jobs that may use spot machines leave on-demand ones to those that may not.
+    if (job.spec.spot && !machine.spot) cost_s += kSpotJobOnDemandCostS;
+    return cost_s;
 }
 
 void abandon_image_fetch(machines::Machine& machine, Index image) {
-    std::erase_if(machine.images, [image](const machines::CachedImage& c) {
-        return c.image == image && !c.present;
+    std::erase_if(machine.images, [image](const machines::CachedImage& cached) {
+        return cached.image == image && !cached.present;
     });
 }
 
 void mark_image_used(machines::Machine& machine, const wire::MachineType& type, Index image,
-                     double gb, bool present, Millis now) {
-    auto it = std::find_if(machine.images.begin(), machine.images.end(),
-                           [&](const machines::CachedImage& c) { return c.image == image; });
+                     double size_gb, bool present, Millis now) {
+    auto it = std::find_if(
+        machine.images.begin(), machine.images.end(),
+        [image](const machines::CachedImage& cached) { return cached.image == image; });
     if (it != machine.images.end()) {
         it->last_used_at = now;
         it->present = it->present || present;
         return;
     }
-    machine.images.push_back({image, gb, now, present});
-    double held = 0;
-    for (const auto& c : machine.images) held += c.size_gb;
-    while (held > type.cache_gb && machine.images.size() > 1) {
-        auto oldest = std::min_element(
-            machine.images.begin(), machine.images.end(),
-            [](const auto& a, const auto& b) { return a.last_used_at < b.last_used_at; });
-        if (oldest->image == image) break;
-        held -= oldest->size_gb;
-        machine.images.erase(oldest);
-    }
+    machine.images.push_back({image, size_gb, now, present});
+    drop_oldest_images(machine, type.cache_gb, image);
 }
 
 }  // namespace nickelramp::placement
--- a/src/placement/placement_cost.h
+++ b/src/placement/placement_cost.h
@@ -1,6 +1,8 @@
-// Which machine suits a task best. Pure: looks at one job and one machine.
+/// @file
+/// Which machine suits a task best, and what a slot costs. Pure functions of one job and one
+/// machine or machine type, and the bookkeeping of a machine's image cache on which they rest.
 #pragma once
-#include <optional>
+#include <cstdint>
 
 #include "jobs/job.h"
 #include "jobs/resource_need.h"
@@ -13,38 +15,44 @@
 using jobs::kFitTolerance;
 using jobs::Need;
 
-inline Need need_of(const jobs::Job& job) {
+/// What one task of the job needs.
+[[nodiscard]] inline Need need_of(const jobs::Job& job) {
     return {job.spec.cpus, job.spec.gpus, job.spec.memory_gb};
 }
 
-// A place that costs more than so many ordinary ones of the cheapest type is dear.
+/// A slot is expensive if its relative cost (jobs::RelativeCost) is higher.
 inline constexpr double kExpensiveFactor = 1.5;
 
-// How many tasks with this need a machine with so much free takes.
-std::uint32_t tasks_that_fit(double cpus, double gpus, double memory_gb, const Need& need,
-                             std::uint32_t limit);
+/// How many tasks with this need fit into what is free, at most `limit`.
+[[nodiscard]] std::uint32_t tasks_that_fit(double cpus, double gpus, double memory_gb,
+                                           const Need& need, std::uint32_t limit);
 
-// How many tasks a machine of the type takes when it has nothing else.
-std::uint32_t slots_on(const wire::MachineType& type, const Need& need);
+/// How many tasks with this need an empty machine of the type takes.
+[[nodiscard]] std::uint32_t slots_on(const wire::MachineType& type, const Need& need);
 
-// What one task's place costs an hour on a full machine of this kind; infinite if none fits.
-double hourly_cost_per_task(const wire::MachineType& type, bool spot, const Need& need);
+/// The hourly price of one slot on a full machine of the type, in the currency of the cloud's price
+/// list; infinite if no task fits.
+[[nodiscard]] double hourly_cost_per_task(const wire::MachineType& type, bool spot,
+                                          const Need& need);
 
-// How long a machine that does nothing else takes to fetch its image.
-double image_fetch_s(const jobs::Job& job, const wire::MachineType& type);
+/// Seconds that a machine of the type takes to fetch the job's image when it fetches nothing else.
+[[nodiscard]] double image_fetch_s(const jobs::Job& job, const wire::MachineType& type);
 
-// About how long a task waits there for its image.
-double image_wait_s(const jobs::Job& job, const machines::Machine& machine,
-                    const wire::MachineType& type);
+/// An estimate of the seconds that a task waits for its image on the machine.
+[[nodiscard]] double image_wait_s(const jobs::Job& job, const machines::Machine& machine,
+                                  const wire::MachineType& type);
 
-// Lower is better: about the seconds lost by putting the task here rather than on an ideal machine.
-double placement_cost(const jobs::Job& job, const machines::Machine& machine,
-                      const wire::MachineType& type);
+/// About the seconds lost by placing a task of the job here rather than on an ideal machine; the
+/// lowest is best.
+[[nodiscard]] double placement_cost(const jobs::Job& job, const machines::Machine& machine,
+                                    const wire::MachineType& type);
 
-// The image is used (or will be) on this machine; the cache keeps the most recently used ones.
-// Nobody on the machine waits for it any more: a fetch under way is given up.
+/// No task on the machine wants the image any more: a fetch under way is taken to be abandoned.
 void abandon_image_fetch(machines::Machine& machine, Index image);
+
+/// A task on the machine uses the image, or is about to. `present`: it is known to be fetched. When
+/// the cache is full, the least recently used images are taken to be dropped.
 void mark_image_used(machines::Machine& machine, const wire::MachineType& type, Index image,
-                     double gb, bool present, Millis now);
+                     double size_gb, bool present, Millis now);
 
 }  // namespace nickelramp::placement
