--- a/src/api/confirmed_reads_driver.h
+++ b/src/api/confirmed_reads_driver.h
@@ -5,6 +5,7 @@
 
 #include "api/confirmed_reads.h"
 #include "api/job_store.h"
+#include "kvstore/client.h"
 #include "net/timer.h"
 #include "wire/settings.h"
 
--- a/src/api/job_store.h
+++ b/src/api/job_store.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "base/time.h"
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 
 namespace nickelramp::api {
 
--- a/src/cluster/service_gateway.h
+++ b/src/cluster/service_gateway.h
@@ -8,7 +8,7 @@
 
 #include "base/time.h"
 #include "cloud/provision_reply.h"
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 #include "lease/role.h"
 #include "wire/messages.h"
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -14,7 +14,7 @@
 #include "base/owned_value.h"
 #include "base/time.h"
 #include "dependencies/dependency_automata.h"
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 #include "wire/messages.h"
 
 namespace nickelramp::cluster {
--- a/src/readiness/readiness.h
+++ b/src/readiness/readiness.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 
 namespace nickelramp::readiness {
 
--- a/src/shards/shard_lease_table.h
+++ b/src/shards/shard_lease_table.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 
 namespace nickelramp::shards {
 
--- a/tests/golden.h
+++ b/tests/golden.h
@@ -19,7 +19,7 @@
 #include <utility>
 #include <vector>
 
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 #include "wire/cbor.h"
 
 namespace nickelramp::test::golden {
--- a/tests/golden_http_test.cpp
+++ b/tests/golden_http_test.cpp
@@ -5,6 +5,7 @@
 #include "cloud/cloud_client.h"
 #include "controller/worker_connections.h"
 #include "kvstore/client.h"
+#include "kvstore/protocol.h"
 #include "lease/lease_guard.h"
 #include "net/address.h"
 #include "net/stream.h"
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "cloud/provision_reply.h"
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 #include "machines/heartbeat_reply.h"
 #include "net/http_server.h"
 #include "peers/messages.h"
