--- a/src/autoscaling/intent_log.h
+++ b/src/autoscaling/intent_log.h
@@ -13,6 +13,7 @@
 #include <string>
 #include <vector>
 
+#include "cloud/provisioning_intent.h"
 #include "cluster/cluster_observer.h"
 #include "cluster/term_context.h"
 #include "lease/role.h"
@@ -23,12 +24,8 @@
 std::string intent_key(lease::Role role, std::uint64_t term);
 std::optional<std::pair<lease::Role, std::uint64_t>> parse_intent_key(const std::string& key);
 
-struct ProvisioningIntent {
-    std::string name;  // of the rental, or of the machine
-    std::string type, zone;
-    bool spot = false;
-    std::uint32_t count = 0;  // these only of a rental
-};
+using cloud::ProvisioningIntent;
+
 wire::Json encode_intents(lease::Role role, const std::vector<ProvisioningIntent>& intents);
 std::optional<std::vector<ProvisioningIntent>> decode_intents(lease::Role role,
                                                               const wire::Json& value);
