--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -83,16 +83,7 @@
                          std::tie(done, running) = it->second;
                          return true;
                      }}),
-      election_(loop, state_client_, settings.name, seed_of(settings.name),
-                {[this](std::uint64_t term, std::uint64_t version) { on_elected(term, version); },
-                 [this](Millis until) {
-                     if (control_loop_) control_loop_->confirm_lease_until(until);
-                 },
-                 [this](const std::string&) { end_term(); },
-                 [](const std::string& leader) {
-                     spdlog::info("leader: {}", leader.empty() ? "none" : leader);
-                 },
-                 {}}),
+      election_(loop, state_client_, settings.name, seed_of(settings.name), *this),
       tick_timer_(loop, [this] { tick(); }),
       instances_timer_(loop, [this] { poll_instances(); }),
       types_timer_(loop, [this] { poll_machine_types(); }),
@@ -146,9 +137,7 @@
                partition_responder_.on_delegation(l, shard_holder_.incarnation(), now());
            },
            [this](const peers::RoleAssignment& c) { role_manager_.on_assignment(c, now()); },
-           [this](const peers::DelegatedRequest& e) {
-               role_manager_.on_delegated_request(e, now());
-           },
+           [this](const peers::DelegatedRequest& e) { role_manager_.on_delegated_request(e); },
            [this](const peers::DelegatedResult& o) { role_manager_.on_delegated_result(o, now()); },
            [this](const peers::ForwardedHeartbeat& r) {
                heartbeat_handler_.on_forwarded_heartbeat(r);
@@ -160,8 +149,14 @@
                          [this](const std::string& peer, const peers::PeerFrame& speech) {
                              return peer_network_.send_batched(peer, speech);
                          }),
+      role_services_(
+          {loop, state_client_, cloud_client_, peer_network_}, leader_scheduling_guard_,
+          [this] { return leader_lease(); },
+          [this](lease::Role role, std::uint64_t fence) {
+              if (control_loop_) control_loop_->set_role_fence(role, fence);
+          }),
       role_manager_(settings.name, shard_holder_.incarnation(), settings.state_txn_ops,
-                    role_manager_hooks()),
+                    role_services_.services()),
       dispose_timer_(loop, [this] { shard_holder_.dispose_ended(); }),
       admin_requests_(loop, state_client_, metrics_,
                       {[this] { return status(); }, [this] { update_gauges(); }},
@@ -273,6 +268,14 @@
     load_term();
 }
 
+void Controller::on_lease_confirmed(Millis valid_until) {
+    if (control_loop_) control_loop_->confirm_lease_until(valid_until);
+}
+
+void Controller::on_leader_changed(const std::string& leader) {
+    spdlog::info("election: leader={}", leader.empty() ? "none" : leader);
+}
+
 void Controller::load_term() {
     if (term_phase_ != TermPhase::loading) return;
     if (machine_types_.empty()) {
@@ -569,69 +572,6 @@
     return {term_, election_.lease_valid_until()};
 }
 
-roles::RoleManager::Hooks Controller::role_manager_hooks() {
-    roles::RoleManager::Hooks h;
-    h.clock = clock;
-    h.leader_lease = [this] { return leader_lease(); };
-    h.commit = [this](kvstore::Transaction transaction, roles::RoleManager::CommitDone done) {
-        state_client_.commit(transaction, kvstore::RequestClass::election, kCommit,
-                             net::with_time(loop_, std::move(done)),
-                             while_valid(leader_scheduling_guard_));
-    };
-    h.commit_garbage_collection = [this](const lease::LeaseProof<lease::GarbageCollection>& permit,
-                                         const kvstore::Transaction& transaction,
-                                         roles::RoleManager::CommitDone done) {
-        state_client_.commit(transaction, kvstore::RequestClass::background, kCommit,
-                             net::with_time(loop_, std::move(done)),
-                             [permit] { return permit.is_valid(); });
-    };
-    h.list = [this](const std::string& prefix, roles::RoleManager::ListDone done) {
-        state_client_.list(prefix, kvstore::RequestClass::control,
-                           net::with_time(loop_, std::move(done)));
-    };
-    h.list_page = [this](const std::string& prefix, const std::string& after, std::size_t most,
-                         roles::RoleManager::ListDone done) {
-        state_client_.list_page(prefix, after, most, kvstore::RequestClass::background,
-                                net::with_time(loop_, std::move(done)));
-    };
-    h.has_spare_budget = [this] { return state_client_.has_spare_budget(); };
-    h.grant_lease = [this](Millis life, roles::RoleManager::LeaseDone done) {
-        state_client_.grant_lease(life, net::with_time(loop_, std::move(done)));
-    };
-    h.renew_lease = [this](std::uint64_t hold, roles::RoleManager::LeaseDone done) {
-        state_client_.renew_lease(hold, kCommit, net::with_time(loop_, std::move(done)));
-    };
-    h.revoke_lease = [this](std::uint64_t hold) { state_client_.revoke_lease(hold); };
-    h.send_assignment = [this](const std::string& peer, const peers::RoleAssignment& assignment) {
-        send_as_leader(peer, assignment);
-    };
-    h.send_request = [this](const std::string& peer, const peers::DelegatedRequest& request) {
-        return send_as_leader(peer, request);
-    };
-    h.send_result = [this](const std::string& peer, const peers::DelegatedResult& result) {
-        peer_network_.send(peer, peers::encode(result));
-    };
-    h.provision = [this](const lease::LeaseProof<lease::ScaleOut>& permit,
-                         const autoscaling::ProvisioningIntent& intent,
-                         roles::RoleManager::ProvisionDone done) {
-        cloud_client_.provision(permit, intent.name, intent.type, intent.zone, intent.spot,
-                                intent.count, net::with_time(loop_, std::move(done)));
-    };
-    h.release = [this](const lease::LeaseProof<lease::ScaleIn>& permit,
-                       const std::vector<std::string>& machines,
-                       roles::RoleManager::ProvisionDone done) {
-        cloud_client_.release(permit, machines, [this, done = std::move(done)](bool ok) {
-            using Result = cloud::ProvisionReply::Result;
-            done(now(), {ok ? Result::provisioned : Result::unknown, {}});
-        });
-    };
-    h.cloud_unreachable = [this](Millis t) { return cloud_client_.is_unreachable(t); };
-    h.fence_changed = [this](lease::Role role, std::uint64_t fence) {
-        if (control_loop_) control_loop_->set_role_fence(role, fence);
-    };
-    return h;
-}
-
 void Controller::update_heartbeat_gauges() {
     auto count = [this](const char* label, std::uint64_t n) {
         metrics_.set_gauge("reports", label, static_cast<double>(n));
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -15,6 +15,7 @@
 #include "control/shard_holder.h"
 #include "controller/heartbeat_handler.h"
 #include "controller/live_service_gateway.h"
+#include "controller/role_services.h"
 #include "controller/worker_connections.h"
 #include "election/election_driver.h"
 #include "kvstore/client.h"
@@ -32,7 +33,7 @@
     bool drain_plans = false;  // drain plans, /admin/plans
 };
 
-class Controller : private HeartbeatHandler::Controller {
+class Controller : private HeartbeatHandler::Controller, private election::ElectionObserver {
   public:
     Controller(uv_loop_t* loop, const wire::Settings& settings, const FeatureFlags& features);
 
@@ -61,7 +62,12 @@
     std::size_t worker_sockets() const override { return http_server_.worker_connections(); }
     void update_readiness();
 
-    void on_elected(std::uint64_t term, std::uint64_t version);
+    // election::ElectionObserver
+    void on_elected(std::uint64_t term, std::uint64_t version) override;
+    void on_lease_confirmed(Millis valid_until) override;
+    void on_deposed() override { end_term(); }
+    void on_leader_changed(const std::string& leader) override;
+
     void load_term();
     void list_grants_and_intents(
         std::function<void(const kvstore::ListReply&, const kvstore::ListReply&)> then);
@@ -91,7 +97,6 @@
     // Read at acts: what the loop knows of the time may be from before a freeze.
     static Millis clock() { return static_cast<Millis>(uv_hrtime() / 1'000'000); }
     std::int64_t wall_ms() const;
-    roles::RoleManager::Hooks role_manager_hooks();
     lease::Lease leader_lease() const;
     template <typename Message>
     bool send_as_leader(const std::string& peer, const Message& message);
@@ -135,6 +140,7 @@
     HeartbeatHandler heartbeat_handler_;
     Millis leader_status_at_ = 0;
     std::map<std::string, Millis> lost_zones_;  // since when, as the leader last said
+    RoleServices role_services_;
     roles::RoleManager role_manager_;
     net::Timer dispose_timer_;
     admin::AdminRequestHandler admin_requests_;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -3,12 +3,19 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace nickelramp::election {
 
 namespace {
+constexpr const char* kPrefix = "lead/";
 constexpr Millis kWatchWait = 5000;
 constexpr Millis kRetry = 500;
+constexpr Millis kMaxJitter = 120;
+
+std::string leader_of(const kvstore::Entry& entry) {
+    return wire::text_field(entry.value, "node").value_or("");
+}
 }  // namespace
 
 const char* name(ElectionState state) {
@@ -29,10 +36,12 @@
     return "?";
 }
 
-Election::Election(ElectionStore& store, std::string node, std::uint64_t seed, Hooks hooks)
+Election::Election(ElectionStore& store, ElectionObserver& observer, std::string name,
+                   std::uint64_t seed, RequestWakeUp request_wake_up)
     : store_(store),
-      node_(std::move(node)),
-      hooks_(std::move(hooks)),
+      observer_(observer),
+      name_(std::move(name)),
+      request_wake_up_(std::move(request_wake_up)),
       random_(static_cast<std::minstd_rand::result_type>(seed)),
       lease_validity_(lease::kLeaseDuration) {}
 
@@ -40,88 +49,93 @@
 
 void Election::set_state(ElectionState state) {
     if (state == state_) return;
-    spdlog::info("leadership: {} -> {}", name(state_), name(state));
+    spdlog::info("election: state={} previous={}", name(state), name(state_));
     state_ = state;
 }
 
-void Election::schedule_at(Millis& date, Millis at) {
-    date = at;
-    hooks_.wake(at);
+void Election::schedule_at(Millis& due_at, Millis at) {
+    due_at = at;
+    request_wake_up_(at);
 }
 
 void Election::run_due_work(Millis now) {
-    auto due = [now](Millis& date) {
-        if (now < date) return false;
-        date = kNever;
+    auto take_due = [now](Millis& due_at) {
+        if (now < due_at) return false;
+        due_at = kNever;
         return true;
     };
-    if (due(check_validity_at_)) check_lease_validity(now);
-    if (due(renew_at_)) renew_lease(now);
-    if (due(campaign_at_)) campaign(now);
-    if (due(watch_at_)) read_leader();
-    const Millis next = std::min({campaign_at_, renew_at_, check_validity_at_, watch_at_});
-    if (next < kNever) hooks_.wake(next);
+    if (take_due(check_validity_at_)) check_lease_validity(now);
+    if (take_due(renew_at_)) renew_lease(now);
+    if (take_due(campaign_at_)) campaign(now);
+    if (take_due(read_leader_at_)) read_leader();
+    const Millis next = std::min({campaign_at_, renew_at_, check_validity_at_, read_leader_at_});
+    if (next < kNever) request_wake_up_(next);
 }
 
-// Reads the seat, then watches it.
+// --- who leads
+
 void Election::read_leader() {
-    store_.list("lead/", [this](Millis t, const kvstore::ListReply& reply) {
+    store_.list(kPrefix, [this](Millis now, const kvstore::ListReply& reply) {
         if (reply.status != kvstore::Status::ok) {
-            schedule_at(watch_at_, t + kRetry);
+            schedule_at(read_leader_at_, now + kRetry);
             return;
         }
         watch_revision_ = reply.revision;
-        std::string node;
+        std::string leader;
         std::uint64_t version = 0;
         for (const kvstore::Entry& entry : reply.entries) {
             if (entry.key != kLeaderKey) continue;
-            node = wire::text_field(entry.value, "node").value_or("");
+            leader = leader_of(entry);
             version = entry.version;
         }
-        on_leader_read(node, version, t);
-        watch();
+        on_leader_read(leader, version, now);
+        watch_leader();
     });
 }
 
-void Election::watch() {
+void Election::watch_leader() {
     store_.watch(
-        "lead/", watch_revision_, kWatchWait, [this](Millis t, const kvstore::ListReply& reply) {
-            if (reply.status != kvstore::Status::ok) {
-                schedule_at(
-                    watch_at_,
-                    t + (reply.status == kvstore::Status::lease_or_revision_expired ? 0 : kRetry));
+        kPrefix, watch_revision_, kWatchWait, [this](Millis now, const kvstore::ListReply& reply) {
+            if (reply.status == kvstore::Status::ok) {
+                on_leader_changes(reply, now);
+                watch_leader();
                 return;
             }
-            watch_revision_ = std::max(watch_revision_, reply.revision);
-            for (const kvstore::Entry& entry : reply.entries) {
-                if (entry.key != kLeaderKey) continue;
-                if (entry.deleted)
-                    on_leader_read("", 0, t);
-                else
-                    on_leader_read(wire::text_field(entry.value, "node").value_or(""),
-                                   entry.version, t);
-            }
-            watch();
+            // A revision that is too old is read again at once.
+            const bool expired = reply.status == kvstore::Status::lease_or_revision_expired;
+            schedule_at(read_leader_at_, now + (expired ? 0 : kRetry));
         });
 }
 
-void Election::on_leader_read(const std::string& node, std::uint64_t version, Millis now) {
-    bool changed = node != leader_;
-    leader_ = node;
+void Election::on_leader_changes(const kvstore::ListReply& reply, Millis now) {
+    watch_revision_ = std::max(watch_revision_, reply.revision);
+    for (const kvstore::Entry& entry : reply.entries) {
+        if (entry.key != kLeaderKey) continue;
+        if (entry.deleted)
+            on_leader_read("", 0, now);
+        else
+            on_leader_read(leader_of(entry), entry.version, now);
+    }
+}
+
+void Election::on_leader_read(const std::string& leader, std::uint64_t version, Millis now) {
+    const bool changed = leader != leader_;
+    leader_ = leader;
     leader_key_version_ = version;
     leader_key_known_ = true;
-    if (changed) hooks_.leader_changed(node);
-    bool mine = state_ == ElectionState::leading || state_ == ElectionState::lease_uncertain;
-    if (mine && node != node_) {
-        end_leadership(node.empty() ? "the hold ended" : node + " has taken the seat", now);
+    if (changed) observer_.on_leader_changed(leader);
+    if (is_leader() && leader != name_) {
+        end_leadership(leader.empty() ? "lease expired" : "superseded by " + leader, now);
         return;
     }
     if (state_ == ElectionState::following && version == 0) {
-        // A moment's difference spares most conflicts.
-        schedule_at(campaign_at_, now + static_cast<Millis>(random_() % 120));
+        // Candidates that begin at different moments rarely conflict.
+        schedule_at(campaign_at_, now + static_cast<Millis>(random_() % kMaxJitter));
     }
 }
 
+// --- the campaign: term, lease, claim
+
 void Election::campaign(Millis now) {
     if (state_ != ElectionState::following || !leader_key_known_ || leader_key_version_ != 0)
         return;
@@ -139,29 +153,28 @@
 }
 
 void Election::read_term() {
-    store_.get(kTermKey, [this](Millis t, const kvstore::GetReply& reply) {
+    store_.get(kTermKey, [this](Millis now, const kvstore::GetReply& reply) {
         if (state_ != ElectionState::reading_term) return;
-        if (reply.status == kvstore::Status::missing) {
-            term_ = 1;
-            term_version_ = 0;
-        } else if (reply.status == kvstore::Status::ok) {
-            term_ = wire::count_field(reply.entry.value, "term").value_or(0) + 1;
-            term_version_ = reply.entry.version;
-        } else {
-            abandon_campaign(t);
+        const std::optional<std::uint64_t> version = kvstore::version_of(reply);
+        if (!version) {
+            abandon_campaign(now);
             return;
         }
+        term_version_ = *version;
+        term_ = 1;
+        if (reply.status == kvstore::Status::ok)
+            term_ = wire::count_field(reply.entry.value, "term").value_or(0) + 1;
         set_state(ElectionState::acquiring_lease);
-        acquire_lease(t);
+        acquire_lease(now);
     });
 }
 
 void Election::acquire_lease(Millis now) {
     lease_requested_at_ = now;
-    store_.grant_lease(lease::kLeaseDuration, [this](Millis t, const kvstore::LeaseReply& reply) {
+    store_.grant_lease(lease::kLeaseDuration, [this](Millis now, const kvstore::LeaseReply& reply) {
         if (state_ != ElectionState::acquiring_lease) return;
         if (reply.status != kvstore::Status::ok) {
-            abandon_campaign(t);
+            abandon_campaign(now);
             return;
         }
         lease_id_ = reply.lease_id;
@@ -173,49 +186,60 @@
 void Election::claim_leadership() {
     kvstore::Transaction transaction;
     transaction.conditions = {{kLeaderKey, 0}, {kTermKey, term_version_}};
-    transaction.writes = {{kLeaderKey, wire::Json{{"node", node_}}, lease_id_},
-                          {kTermKey, wire::Json{{"term", term_}, {"node", node_}}, 0}};
-    store_.commit(transaction, [this](Millis t, const kvstore::CommitReply& reply) {
+    transaction.writes = {{kLeaderKey, wire::Json{{"node", name_}}, lease_id_},
+                          {kTermKey, wire::Json{{"term", term_}, {"node", name_}}, 0}};
+    store_.commit(transaction, [this](Millis now, const kvstore::CommitReply& reply) {
         if (state_ != ElectionState::claiming_leadership) return;
-        if (reply.status != kvstore::Status::ok) {
-            // Also when the outcome is unknown: without the term's stamp nobody can lead. The hold
-            // is ended, so that a seat taken after all falls free.
-            store_.revoke_lease(lease_id_);
-            lease_id_ = 0;
-            abandon_campaign(t);
-            return;
-        }
-        term_version_ = reply.revision;
-        leader_ = node_;
-        leader_key_version_ = reply.revision;
-        lease_validity_.reset();
-        lease_validity_.extend(lease_requested_at_);
-        set_state(ElectionState::leading);
-        schedule_at(renew_at_, t + lease::kLeaseRenewInterval / 2);
-        check_lease_validity(t);
-        hooks_.elected(term_, term_version_);
-        hooks_.lease_confirmed(lease_validity_.valid_until());
+        if (reply.status == kvstore::Status::ok)
+            start_leading(reply.revision, now);
+        else
+            on_claim_failed(now);
     });
 }
 
+// Also when the outcome is unknown: nobody can lead without the version of the term. The lease is
+// revoked, so that a leader key that was written after all vanishes.
+void Election::on_claim_failed(Millis now) {
+    store_.revoke_lease(lease_id_);
+    lease_id_ = 0;
+    abandon_campaign(now);
+}
+
+void Election::start_leading(std::uint64_t version, Millis now) {
+    term_version_ = version;
+    leader_ = name_;
+    leader_key_version_ = version;
+    lease_validity_.reset();
+    lease_validity_.extend(lease_requested_at_);
+    set_state(ElectionState::leading);
+    schedule_at(renew_at_, now + lease::kLeaseRenewInterval / 2);
+    check_lease_validity(now);
+    observer_.on_elected(term_, term_version_);
+    observer_.on_lease_confirmed(lease_validity_.valid_until());
+}
+
+// --- the leader's lease
+
 void Election::renew_lease(Millis now) {
-    if (state_ != ElectionState::leading && state_ != ElectionState::lease_uncertain) return;
+    if (!is_leader()) return;
     schedule_at(renew_at_, now + lease::kLeaseRenewInterval);
-    store_.renew_lease(
-        lease_id_, [this, now, hold = lease_id_](Millis t, const kvstore::LeaseReply& reply) {
-            if (hold != lease_id_ ||
-                (state_ != ElectionState::leading && state_ != ElectionState::lease_uncertain))
-                return;
-            if (reply.status == kvstore::Status::ok) {
-                lease_validity_.extend(now);
-                if (state_ == ElectionState::lease_uncertain && lease_validity_.valid(t))
-                    set_state(ElectionState::leading);
-                hooks_.lease_confirmed(lease_validity_.valid_until());
-                check_lease_validity(t);
-            } else if (reply.status == kvstore::Status::missing) {
-                end_leadership("the hold ended", t);
-            }
-        });
+    auto on_reply = [this, requested_at = now, lease_id = lease_id_](
+                        Millis now, const kvstore::LeaseReply& reply) {
+        if (lease_id != lease_id_ || !is_leader()) return;
+        if (reply.status == kvstore::Status::ok)
+            on_lease_renewed(requested_at, now);
+        else if (reply.status == kvstore::Status::missing)
+            end_leadership("lease expired", now);
+    };
+    store_.renew_lease(lease_id_, on_reply);
+}
+
+void Election::on_lease_renewed(Millis requested_at, Millis now) {
+    lease_validity_.extend(requested_at);
+    if (state_ == ElectionState::lease_uncertain && lease_validity_.valid(now))
+        set_state(ElectionState::leading);
+    observer_.on_lease_confirmed(lease_validity_.valid_until());
+    check_lease_validity(now);
 }
 
 void Election::check_lease_validity(Millis now) {
@@ -227,20 +251,20 @@
     schedule_at(check_validity_at_, lease_validity_.valid_until());
 }
 
-void Election::step_down(const std::string& why, Millis rest, Millis now) {
-    if (state_ != ElectionState::leading && state_ != ElectionState::lease_uncertain) return;
-    backoff_until_ = now + rest;
+void Election::step_down(const std::string& reason, Millis backoff, Millis now) {
+    if (!is_leader()) return;
+    backoff_until_ = now + backoff;
     store_.revoke_lease(lease_id_);
-    end_leadership(why, now);
+    end_leadership(reason, now);
 }
 
-void Election::end_leadership(const std::string& why, Millis now) {
-    spdlog::warn("term {} is over: {}", term_, why);
+void Election::end_leadership(const std::string& reason, Millis now) {
+    spdlog::warn("election: leadership ended: term={} reason=\"{}\"", term_, reason);
     renew_at_ = check_validity_at_ = kNever;
     lease_validity_.reset();
     lease_id_ = 0;
     set_state(ElectionState::following);
-    hooks_.deposed(why);
+    observer_.on_deposed();
     schedule_at(campaign_at_, now + kRetry);
 }
 
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -1,116 +1,147 @@
-// Who leads. One key lives on a hold of the leader's; another, permanent, counts the terms:
-//
-//   lead/seat   {node}         attached to the leader's hold; present while somebody leads
-//   lead/term   {term, node}   its stamp is the condition of every transaction of that term
-//
-// The decisions take replies and the time as arguments, own no sockets and read no clock;
-// leadership/runner.h runs them.
+/// @file
+/// Leader election. One key is attached to a lease of the leader; another, permanent, numbers the
+/// terms:
+///
+///   lead/seat   {node}         attached to the leader's lease; exists while somebody leads
+///   lead/term   {term, node}   its version is the condition of every transaction of that term
+///
+/// Election decides only: it takes replies and the time as arguments, owns no sockets and reads no
+/// clock. ElectionDriver (election/election_driver.h) runs it on libuv.
 #pragma once
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <random>
 #include <string>
 
 #include "base/time.h"
-#include "kvstore/client.h"
+#include "kvstore/types.h"
 #include "lease/lease_guard.h"
+#include "lease/lease_store.h"
 
 namespace nickelramp::election {
 
 inline constexpr const char* kLeaderKey = "lead/seat";
 inline constexpr const char* kTermKey = "lead/term";
 
-// following:  somebody else leads, or nobody as far as is known
-// reading:    the seat is free; reading the term's number
-// holding:    asking for a hold
-// claiming:   the transaction that takes the seat is under way
-// leading:    the hold is certainly alive, by this node's own steady clock
-// doubting:   the hold may have ended; nothing new is decided until a renewal is answered
 enum class ElectionState {
-    following,
-    reading_term,
-    acquiring_lease,
-    claiming_leadership,
-    leading,
-    lease_uncertain
+    following,            ///< somebody else leads, or nobody as far as is known
+    reading_term,         ///< nobody leads; the term's number is being read
+    acquiring_lease,      ///< a lease has been asked for
+    claiming_leadership,  ///< the transaction that writes the leader key is under way
+    leading,              ///< the lease is certainly alive, by this controller's steady clock
+    lease_uncertain       ///< the lease may have expired; nothing is decided until it is renewed
 };
-const char* name(ElectionState state);
+/// The state's name on administration pages, which logs use, too.
+[[nodiscard]] const char* name(ElectionState state);
 
-// What the election asks of the state service. Every call is answered once, later.
-class ElectionStore {
+/// What the election asks of the key-value store. Every `done` is called once, later, with the time
+/// at which the reply came; failures are in the reply's status.
+class ElectionStore : public lease::LeaseStore {
   public:
-    virtual ~ElectionStore() = default;
-    virtual void list(const std::string& prefix,
-                      std::function<void(Millis, const kvstore::ListReply&)> done) = 0;
+    using ListDone = std::function<void(Millis now, const kvstore::ListReply&)>;
+    using GetDone = std::function<void(Millis now, const kvstore::GetReply&)>;
+    using CommitDone = std::function<void(Millis now, const kvstore::CommitReply&)>;
+
+    virtual void list(const std::string& prefix, ListDone done) = 0;
+    /// One long poll for changes after the revision, of at most `wait` milliseconds.
     virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait,
-                       std::function<void(Millis, const kvstore::ListReply&)> done) = 0;
-    virtual void get(const std::string& key,
-                     std::function<void(Millis, const kvstore::GetReply&)> done) = 0;
-    virtual void commit(const kvstore::Transaction& transaction,
-                        std::function<void(Millis, const kvstore::CommitReply&)> done) = 0;
-    virtual void grant_lease(Millis life,
-                             std::function<void(Millis, const kvstore::LeaseReply&)> done) = 0;
-    virtual void renew_lease(std::uint64_t hold,
-                             std::function<void(Millis, const kvstore::LeaseReply&)> done) = 0;
-    virtual void revoke_lease(std::uint64_t hold) = 0;
+                       ListDone done) = 0;
+    virtual void get(const std::string& key, GetDone done) = 0;
+    virtual void commit(const kvstore::Transaction& transaction, CommitDone done) = 0;
+};
+
+/// Who wants to know how the election goes: the controller. Called from within Election's calls and
+/// replies to it; must not destroy the election.
+class ElectionObserver {
+  public:
+    virtual ~ElectionObserver() = default;
+    /// This controller leads. `version` is that of kTermKey, the condition of its transactions.
+    virtual void on_elected(std::uint64_t term, std::uint64_t version) = 0;
+    /// The leader's lease certainly lasts until then, by its steady clock.
+    virtual void on_lease_confirmed(Millis valid_until) = 0;
+    /// This controller led, and does no more. The reason is logged.
+    virtual void on_deposed() = 0;
+    /// Another controller leads, as far as is known; empty: nobody does.
+    virtual void on_leader_changed(const std::string& leader) = 0;
 };
 
+/// One controller's part in the election. It guarantees that `leading` is only ever the state of
+/// the controller whose lease holds kLeaderKey. Failed requests are repeated until they succeed.
 class Election {
   public:
-    struct Hooks {
-        std::function<void(std::uint64_t term, std::uint64_t version)> elected;
-        std::function<void(Millis until)> lease_confirmed;  // the hold certainly lasts until then
-        std::function<void(const std::string& why)> deposed;
-        std::function<void(const std::string& leader)> leader_changed;
-        std::function<void(Millis at)> wake;  // there is something to do then, not later
-    };
-    Election(ElectionStore& store, std::string node, std::uint64_t seed, Hooks hooks);
+    /// Asks for a call of run_due_work() at that time, not later.
+    using RequestWakeUp = std::function<void(Millis at)>;
+
+    /// `store` and `observer` must outlive the election. `name` is the controller's; `seed` is of
+    /// the jitter between candidates.
+    Election(ElectionStore& store, ElectionObserver& observer, std::string name, std::uint64_t seed,
+             RequestWakeUp request_wake_up);
 
     void start();
-    void run_due_work(Millis now);  // what its dates bring
-    // Gives the seat up, and waits that long.
-    void step_down(const std::string& why, Millis rest, Millis now);
-    ElectionState state() const { return state_; }
-    const std::string& leader() const { return leader_; }  // as last read; may be stale
-    std::uint64_t term() const { return term_; }
-    // This node's hold, to which its duties are attached; 0: none.
-    std::uint64_t lease_id() const { return lease_id_; }
-    // Until when it may decide, by its own clock. The timer that says so in the log comes late
-    // after a freeze; whoever acts asks this.
-    Millis lease_valid_until() const { return lease_id_ == 0 ? 0 : lease_validity_.valid_until(); }
+    /// Does what is due: campaigns, renews the lease, checks its validity, reads the leader again.
+    void run_due_work(Millis now);
+    /// Gives leadership up, and does not campaign again for `backoff` milliseconds. Does nothing
+    /// unless this controller leads.
+    void step_down(const std::string& reason, Millis backoff, Millis now);
+
+    [[nodiscard]] ElectionState state() const { return state_; }
+    /// Who leads, as last read; may be stale. Empty: nobody.
+    [[nodiscard]] const std::string& leader() const { return leader_; }
+    [[nodiscard]] std::uint64_t term() const { return term_; }
+    /// This controller's lease, to which its roles are attached; 0: none.
+    [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
+    /// Until when it may decide, by its steady clock; 0: it does not lead. Whoever acts asks this:
+    /// the timer that changes the state comes late after the process stood still.
+    [[nodiscard]] Millis lease_valid_until() const {
+        return lease_id_ == 0 ? 0 : lease_validity_.valid_until();
+    }
 
   private:
+    [[nodiscard]] bool is_leader() const {
+        return state_ == ElectionState::leading || state_ == ElectionState::lease_uncertain;
+    }
     void set_state(ElectionState state);
-    void schedule_at(Millis& date, Millis at);
-    void watch();
+    void schedule_at(Millis& due_at, Millis at);
     void read_leader();
-    void on_leader_read(const std::string& node, std::uint64_t version, Millis now);
+    void watch_leader();
+    void on_leader_changes(const kvstore::ListReply& reply, Millis now);
+    void on_leader_read(const std::string& leader, std::uint64_t version, Millis now);
     void campaign(Millis now);
+    void abandon_campaign(Millis now);
     void read_term();
     void acquire_lease(Millis now);
     void claim_leadership();
+    void on_claim_failed(Millis now);
+    void start_leading(std::uint64_t version, Millis now);
     void renew_lease(Millis now);
+    void on_lease_renewed(Millis requested_at, Millis now);
     void check_lease_validity(Millis now);
-    void end_leadership(const std::string& why, Millis now);
-    void abandon_campaign(Millis now);  // this campaign
+    void end_leadership(const std::string& reason, Millis now);
 
     ElectionStore& store_;
-    std::string node_;
-    Hooks hooks_;
+    ElectionObserver& observer_;
+    std::string name_;
+    RequestWakeUp request_wake_up_;
     std::minstd_rand random_;
     ElectionState state_ = ElectionState::following;
+
     std::string leader_;
     bool leader_key_known_ = false;
-    std::uint64_t leader_key_version_ = 0;  // 0: free
+    std::uint64_t leader_key_version_ = 0;  // 0: the key does not exist
     std::uint64_t watch_revision_ = 0;      // where the watch goes on
-    std::uint64_t term_ = 0, term_version_ = 0;
+
+    std::uint64_t term_ = 0;
+    std::uint64_t term_version_ = 0;
     std::uint64_t lease_id_ = 0;
     Millis lease_requested_at_ = 0;
-    Millis backoff_until_ = 0;
     lease::LeaseValidity lease_validity_;
-    Millis campaign_at_ = kNever, renew_at_ = kNever, check_validity_at_ = kNever,
-           watch_at_ = kNever;
+    Millis backoff_until_ = 0;
+
+    // When each is due; kNever: it is not.
+    Millis campaign_at_ = kNever;
+    Millis renew_at_ = kNever;
+    Millis check_validity_at_ = kNever;
+    Millis read_leader_at_ = kNever;
 };
 
 }  // namespace nickelramp::election
--- a/src/lease/lease_guard.h
+++ b/src/lease/lease_guard.h
@@ -1,6 +1,10 @@
-// Rights that end: the arithmetic of a lease, and the proof that one lasted when something was
-// sent. What only a right allows takes a Permit as an argument; only a gate gives one out, and it
-// is asked again when the bytes go out, however long the message was queued before.
+/// @file
+/// Leases that end: the arithmetic of their validity, and the proof that one was valid when
+/// something was sent.
+///
+/// A function that needs a lease takes a LeaseProof as an argument. Only a LeaseGuard issues
+/// proofs, and the proof is checked again as the bytes go out, however long the message was queued
+/// before. Everything runs on the loop's thread.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -11,80 +15,96 @@
 
 namespace nickelramp::lease {
 
-// What a permit is for. Each is a type, so that none can be taken for another.
-struct Scheduling {};  // starts, checkpoints, grants and leaves: while the hold certainly lasts
-struct Responding {};  // reports, stops and probes: as long as leases may be renewed
+/// What a proof allows. Each purpose is a type of its own, so that no proof can be taken for
+/// another.
+/// @{
+struct Scheduling {};  ///< starts, checkpoints, shard grants, delegations: while the lease is valid
+struct Responding {};  ///< heartbeat replies, stops and probes: as long as machine leases may be
+                       ///< renewed
 struct ScaleOut {};
 struct ScaleIn {};
 struct GarbageCollection {};
+/// @}
 
-// Of the holds that the seat and the duties hang on.
+/// Life of the leases that the leader key and the roles are attached to, in milliseconds.
 inline constexpr Millis kLeaseDuration = 4'000;
+/// How often such a lease is renewed.
 inline constexpr Millis kLeaseRenewInterval = 900;
 
-// A hold is certainly alive until its last answered renewal was *sent* plus its life, less what the
-// clocks may drift.
+/// Until when a lease is certainly alive by this process's own clock: its duration counts from the
+/// moment at which the last answered renewal was *sent*, less what the clocks may drift.
 class LeaseValidity {
   public:
-    explicit LeaseValidity(Millis life) : duration_(life) {}
+    explicit LeaseValidity(Millis duration) : duration_(duration) {}
+
+    /// A renewal that was sent then has been answered. Replies may come in any order: the validity
+    /// never shrinks.
     void extend(Millis sent_at) {
-        if (sent_at + without_clock_drift(duration_) > valid_until_)
-            valid_until_ = sent_at + without_clock_drift(duration_);
+        const Millis until = sent_at + without_clock_drift(duration_);
+        if (until > valid_until_) valid_until_ = until;
     }
     void reset() { valid_until_ = -1; }
-    bool valid(Millis now) const { return now < valid_until_; }
-    Millis valid_until() const { return valid_until_; }
+    [[nodiscard]] bool valid(Millis now) const { return now < valid_until_; }
+    [[nodiscard]] Millis valid_until() const { return valid_until_; }
 
   private:
     Millis duration_;
     Millis valid_until_ = -1;
 };
 
-// A right as it stands: under which fence, and until when by the own steady clock.
+/// A lease as it stands: under which fencing token, and until when by this process's steady clock.
 struct Lease {
-    std::uint64_t fence = 0;  // 0: nobody gave it
+    std::uint64_t fence = 0;  ///< 0: there is none
     Millis expires_at = 0;
 };
 
-template <typename For>
+template <typename Purpose>
 class LeaseGuard;
 
-template <typename For>
+/// Proof that a lease was valid when it was asked for. Small and copyable; must not outlive the
+/// guard that issued it.
+template <typename Purpose>
 class LeaseProof {
   public:
-    // Asked at the act: does the right that gave this out last at this moment? A later one of the
-    // same kind does not count.
-    bool is_valid() const { return guard_->is_valid(fence_); }
-    std::uint64_t fence() const { return fence_; }
+    /// Asked at the act: is the lease that this proof was issued under still valid? A later lease
+    /// of the same kind does not count.
+    [[nodiscard]] bool is_valid() const { return guard_->is_valid(fence_); }
+    [[nodiscard]] std::uint64_t fence() const { return fence_; }
 
   private:
-    friend class LeaseGuard<For>;
-    LeaseProof(const LeaseGuard<For>* gate, std::uint64_t fence) : guard_(gate), fence_(fence) {}
-    const LeaseGuard<For>* guard_;
+    // Only the guard can issue proofs.
+    friend class LeaseGuard<Purpose>;
+    LeaseProof(const LeaseGuard<Purpose>* guard, std::uint64_t fence)
+        : guard_(guard), fence_(fence) {}
+
+    const LeaseGuard<Purpose>* guard_;
     std::uint64_t fence_;
 };
 
-template <typename For>
+/// Issues proofs of one lease. Owned by whoever holds the lease.
+template <typename Purpose>
 class LeaseGuard {
   public:
-    // The clock is read at each call: a process that stood still must not go by an earlier look.
-    LeaseGuard(std::function<Millis()> clock, std::function<Lease()> right)
-        : clock_(std::move(clock)), lease_(std::move(right)) {}
+    /// Clock and lease are read at each call: a process that stood still must not rely on what it
+    /// saw before.
+    LeaseGuard(std::function<Millis()> clock, std::function<Lease()> lease)
+        : clock_(std::move(clock)), lease_(std::move(lease)) {}
     LeaseGuard(const LeaseGuard&) = delete;
     LeaseGuard& operator=(const LeaseGuard&) = delete;
 
-    std::optional<LeaseProof<For>> prove() const {
+    /// Nothing if there is no lease, or if it may have expired.
+    [[nodiscard]] std::optional<LeaseProof<Purpose>> prove() const {
         const Lease lease = lease_();
         if (lease.fence == 0 || clock_() >= lease.expires_at) return std::nullopt;
-        return LeaseProof<For>(this, lease.fence);
+        return LeaseProof<Purpose>(this, lease.fence);
     }
-
-  private:
-    friend class LeaseProof<For>;
-    bool is_valid(std::uint64_t fence) const {
+    /// Is the lease with this fence valid now?
+    [[nodiscard]] bool is_valid(std::uint64_t fence) const {
         const Lease lease = lease_();
         return lease.fence == fence && clock_() < lease.expires_at;
     }
+
+  private:
     std::function<Millis()> clock_;
     std::function<Lease()> lease_;
 };
--- a/src/lease/role.cpp
+++ b/src/lease/role.cpp
@@ -3,8 +3,9 @@
 namespace nickelramp::lease {
 
 const char* name(Role role) {
-    static const char* names[kRoleCount] = {"renting", "returning", "reclaiming", "cleaning"};
-    return names[static_cast<std::size_t>(role)];
+    static constexpr const char* kNames[kRoleCount] = {"renting", "returning", "reclaiming",
+                                                       "cleaning"};
+    return kNames[static_cast<std::size_t>(role)];
 }
 
 std::string role_key(Role role) { return std::string(kRoleKeyPrefix) + name(role); }
@@ -24,9 +25,10 @@
 std::optional<RoleRecord> decode_role_record(const wire::Json& value) {
     auto holder = wire::text_field(value, "holder");
     auto incarnation = wire::count_field(value, "incarnation");
-    auto hold = wire::count_field(value, "hold");
-    if (!holder || holder->empty() || !incarnation || !hold || *hold == 0) return std::nullopt;
-    return RoleRecord{*holder, *incarnation, *hold};
+    auto lease_id = wire::count_field(value, "hold");
+    if (!holder || holder->empty() || !incarnation || !lease_id || *lease_id == 0)
+        return std::nullopt;
+    return RoleRecord{*holder, *incarnation, *lease_id};
 }
 
 }  // namespace nickelramp::lease
--- a/src/roles/delegated_requests.cpp
+++ b/src/roles/delegated_requests.cpp
@@ -1,13 +1,16 @@
 #include "roles/delegated_requests.h"
 
+#include <utility>
+
 namespace nickelramp::roles {
 
 namespace {
-constexpr Millis kPatience = 8'000;  // a call at the cloud, its place in the queue, and the way
-}
+// A call to the cloud, its wait for the rate limit there, and the way to the helper and back.
+constexpr Millis kResultTimeout = 8'000;
+}  // namespace
 
 std::uint64_t DelegatedRequests::add(Millis now, Done done) {
-    pending_[++last_number_] = {now + kPatience, std::move(done)};
+    pending_[++last_number_] = {now + kResultTimeout, std::move(done)};
     return last_number_;
 }
 
--- a/src/roles/role_assigner.cpp
+++ b/src/roles/role_assigner.cpp
@@ -3,34 +3,36 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace nickelramp::roles {
 
 namespace {
 constexpr Millis kRetry = 500;
-constexpr Millis kLookEvery = 2'000;  // at duties that others have
+constexpr Millis kReadInterval = 2'000;  // of records of roles that others hold
 }  // namespace
 
 const char* name(RoleState state) {
-    static const char* names[] = {"unknown", "vacant", "claiming", "held", "moving", "elsewhere"};
-    return names[static_cast<std::size_t>(state)];
+    static constexpr const char* kNames[] = {"unknown", "vacant", "claiming",
+                                             "held",    "moving", "elsewhere"};
+    return kNames[static_cast<std::size_t>(state)];
 }
 
-void RoleAssigner::set_state(lease::Role role, RoleState s) {
-    Entry& e = entry(role);
-    if (e.state != s) {
-        spdlog::info("duty {}: {} -> {}{}", lease::name(role), name(e.state), name(s),
-                     s == RoleState::held_elsewhere ? ", " + e.record.holder : "");
+void RoleAssigner::set_state(lease::Role role, RoleState state) {
+    Entry& changed = entry(role);
+    if (changed.state != state) {
+        spdlog::info("roles: role={} state={} previous={} holder={}", lease::name(role),
+                     name(state), name(changed.state), changed.record.holder);
     }
-    e.state = s;
-    if (is_leading()) hooks_.fence_changed(role, known_fence(role));
+    changed.state = state;
+    if (is_leading()) observer_.on_fence_changed(role, known_fence(role));
 }
 
-void RoleAssigner::start_leading(kvstore::Condition term, std::uint64_t hold, Millis now) {
+void RoleAssigner::start_leading(kvstore::Condition term, std::uint64_t lease_id, Millis now) {
     ++generation_;
-    read_in_flight_ = false;
+    request_in_flight_ = false;
     term_ = std::move(term);
-    lease_id_ = hold;
+    lease_id_ = lease_id;
     for (lease::Role role : lease::kAllRoles) {
         entry(role).taken_back_fence = 0;
         set_state(role, RoleState::unknown);
@@ -41,123 +43,138 @@
 void RoleAssigner::stop_leading() {
     if (!is_leading()) return;
     ++generation_;
-    read_in_flight_ = false;
+    request_in_flight_ = false;
     for (lease::Role role : lease::kAllRoles) set_state(role, RoleState::unknown);
     lease_id_ = 0;
 }
 
 void RoleAssigner::run_due_work(Millis now) {
-    if (!is_leading() || read_in_flight_) return;
-    bool unread = false, free = false;
-    for (lease::Role role : lease::kAllRoles) {
-        const Entry& e = entry(role);
-        // A holder elsewhere may have ended: the record says so, and only the record.
-        unread |= (e.state == RoleState::unknown || e.state == RoleState::held_elsewhere) &&
-                  now >= e.retry_at;
-        free |= e.state == RoleState::vacant;
-    }
+    if (!is_leading() || request_in_flight_) return;
+    // A holder elsewhere may be gone: the record says so, and only the record.
+    const bool unread =
+        std::any_of(std::begin(entries_), std::end(entries_), [now](const Entry& entry) {
+            return (entry.state == RoleState::unknown ||
+                    entry.state == RoleState::held_elsewhere) &&
+                   now >= entry.read_at;
+        });
+    const bool vacant =
+        std::any_of(std::begin(entries_), std::end(entries_),
+                    [](const Entry& entry) { return entry.state == RoleState::vacant; });
     if (unread)
         read_records(now);
-    else if (free)
+    else if (vacant)
         claim_vacant_roles();
 }
 
 void RoleAssigner::read_records(Millis now) {
-    read_in_flight_ = true;
-    for (lease::Role role : lease::kAllRoles) entry(role).retry_at = now + kRetry;
-    hooks_.list([this, g = generation_](Millis t, const kvstore::ListReply& reply) {
-        if (g != generation_) return;
-        read_in_flight_ = false;
-        if (reply.status != kvstore::Status::ok) return;  // asked again at its date
-        for (lease::Role role : lease::kAllRoles) apply_records(role, reply, t);
-        run_due_work(t);
-    });
+    request_in_flight_ = true;
+    for (Entry& entry : entries_) entry.read_at = now + kRetry;
+    store_.list_roles(
+        [this, generation = generation_](Millis now, const kvstore::ListReply& reply) {
+            if (generation != generation_) return;
+            request_in_flight_ = false;
+            if (reply.status != kvstore::Status::ok) return;  // read again when it is due
+            for (lease::Role role : lease::kAllRoles) apply_records(role, reply, now);
+            run_due_work(now);
+        });
 }
 
 void RoleAssigner::apply_records(lease::Role role, const kvstore::ListReply& reply, Millis now) {
-    Entry& e = entry(role);
-    // This leader's own transactions are answered by themselves, and the list may be from before
-    // the last of them.
-    if (e.state == RoleState::claiming || e.state == RoleState::transferring ||
-        reply.revision < e.fence)
+    const Entry& known = entry(role);
+    // This leader's own transactions have replies of their own, and the list may be from before the
+    // last of them.
+    if (known.state == RoleState::claiming || known.state == RoleState::transferring ||
+        reply.revision < known.fence)
         return;
-    auto it = std::find_if(
-        reply.entries.begin(), reply.entries.end(),
-        [&](const kvstore::Entry& entry) { return entry.key == lease::role_key(role); });
-    if (it == reply.entries.end()) {
+    const std::string key = lease::role_key(role);
+    const auto found =
+        std::find_if(reply.entries.begin(), reply.entries.end(),
+                     [&](const kvstore::Entry& candidate) { return candidate.key == key; });
+    if (found == reply.entries.end()) {
         set_state(role, RoleState::vacant);
         return;
     }
-    e.retry_at = now + kLookEvery;
-    if (auto record = lease::decode_role_record(it->value)) {
-        if (it->version > e.fence || e.state == RoleState::unknown)
-            on_record_read(role, *record, it->version);
+    entry(role).read_at = now + kReadInterval;
+    apply_record(role, *found);
+}
+
+void RoleAssigner::apply_record(lease::Role role, const kvstore::Entry& found) {
+    Entry& known = entry(role);
+    if (auto record = lease::decode_role_record(found.value)) {
+        if (found.version > known.fence || known.state == RoleState::unknown)
+            on_record_read(role, *record, found.version);
         return;
     }
-    // Left alone: it goes with the hold that it is attached to, or an operator drops it.
-    if (it->version != e.unreadable_version) spdlog::error("record {} cannot be read", it->key);
-    e.unreadable_version = it->version;
+    // Left alone: it vanishes with the lease that it is attached to, or an operator deletes it.
+    if (found.version != known.unreadable_version)
+        spdlog::error("roles: record cannot be read: key={} version={}", found.key, found.version);
+    known.unreadable_version = found.version;
     set_state(role, RoleState::unknown);
 }
 
 void RoleAssigner::on_record_read(lease::Role role, const lease::RoleRecord& record,
                                   std::uint64_t fence) {
-    Entry& e = entry(role);
-    e.record = record;
-    e.fence = fence;
-    // Also what this process had on an earlier hold is another's: it ends with that hold.
+    Entry& known = entry(role);
+    known.record = record;
+    known.fence = fence;
+    // What this process held under an earlier lease counts as another's: it ends with that lease.
     set_state(role, record == own_record() ? RoleState::held_here : RoleState::held_elsewhere);
 }
 
 void RoleAssigner::claim_vacant_roles() {
     kvstore::Transaction transaction;
     transaction.conditions = {term_};
-    std::vector<lease::Role> asked;
+    std::vector<lease::Role> claimed;
     for (lease::Role role : lease::kAllRoles) {
         if (state(role) != RoleState::vacant) continue;
-        asked.push_back(role);
-        transaction.conditions.push_back({lease::role_key(role), 0});
-        transaction.writes.push_back(
-            {lease::role_key(role), lease::encode_role_record(own_record()), lease_id_});
+        const std::string key = lease::role_key(role);
+        claimed.push_back(role);
+        transaction.conditions.push_back({key, 0});
+        transaction.writes.push_back({key, lease::encode_role_record(own_record()), lease_id_});
         set_state(role, RoleState::claiming);
     }
-    read_in_flight_ = true;
-    hooks_.commit(std::move(transaction),
-                  [this, asked, g = generation_](Millis t, const kvstore::CommitReply& reply) {
-                      if (g != generation_) return;
-                      read_in_flight_ = false;
-                      for (lease::Role role : asked) {
-                          if (state(role) != RoleState::claiming) continue;
-                          if (reply.status == kvstore::Status::ok) {
-                              on_record_read(role, own_record(), reply.revision);
-                              continue;
-                          }
-                          // It may have been applied after all: the record tells.
-                          entry(role).retry_at = t + kRetry;
-                          set_state(role, RoleState::unknown);
-                      }
-                  });
-}
-
-// One transaction: the record changes hands on condition that it is as known and the term lasts.
+    request_in_flight_ = true;
+    store_.commit(std::move(transaction), [this, claimed, generation = generation_](
+                                              Millis now, const kvstore::CommitReply& reply) {
+        if (generation == generation_) on_claimed(claimed, reply, now);
+    });
+}
+
+void RoleAssigner::on_claimed(const std::vector<lease::Role>& claimed,
+                              const kvstore::CommitReply& reply, Millis now) {
+    request_in_flight_ = false;
+    for (lease::Role role : claimed) {
+        if (state(role) != RoleState::claiming) continue;
+        if (reply.status == kvstore::Status::ok) {
+            on_record_read(role, own_record(), reply.revision);
+            continue;
+        }
+        // It may have been applied after all: the record tells.
+        entry(role).read_at = now + kRetry;
+        set_state(role, RoleState::unknown);
+    }
+}
+
+// One transaction: the record changes hands if it is as known and the term lasts.
 void RoleAssigner::write_transfer(lease::Role role, const lease::RoleRecord& to) {
-    Entry& e = entry(role);
+    const std::string key = lease::role_key(role);
     kvstore::Transaction transaction;
-    transaction.conditions = {term_, {lease::role_key(role), e.fence}};
-    transaction.writes = {{lease::role_key(role), lease::encode_role_record(to), to.lease_id}};
+    transaction.conditions = {term_, {key, fence(role)}};
+    transaction.writes = {{key, lease::encode_role_record(to), to.lease_id}};
     set_state(role, RoleState::transferring);
-    hooks_.commit(std::move(transaction),
-                  [this, role, to, g = generation_](Millis t, const kvstore::CommitReply& reply) {
-                      if (g != generation_ || state(role) != RoleState::transferring) return;
-                      if (reply.status == kvstore::Status::ok) {
-                          on_record_read(role, to, reply.revision);
-                          return;
-                      }
-                      // Whoever has it now, or may have it soon, is found in the record. A late
-                      // transaction fails once the record has changed; until then it is asked for.
-                      entry(role).retry_at = t + kRetry;
-                      set_state(role, RoleState::unknown);
-                  });
+    auto on_reply = [this, role, to, generation = generation_](Millis now,
+                                                               const kvstore::CommitReply& reply) {
+        if (generation != generation_ || state(role) != RoleState::transferring) return;
+        if (reply.status == kvstore::Status::ok) {
+            on_record_read(role, to, reply.revision);
+            return;
+        }
+        // Whoever holds it now, or may hold it soon, is found in the record. A late transaction
+        // fails once the record has changed; until then the transfer is asked for again.
+        entry(role).read_at = now + kRetry;
+        set_state(role, RoleState::unknown);
+    };
+    store_.commit(std::move(transaction), std::move(on_reply));
 }
 
 void RoleAssigner::transfer(lease::Role role, const lease::RoleRecord& to) {
@@ -171,18 +188,17 @@
 }
 
 void RoleAssigner::on_fence_rejected(lease::Role role) {
-    if (!is_leading() ||
-        (state(role) != RoleState::held_here && state(role) != RoleState::held_elsewhere))
-        return;
-    entry(role).retry_at = 0;
+    if (!is_leading()) return;
+    if (state(role) != RoleState::held_here && state(role) != RoleState::held_elsewhere) return;
+    entry(role).read_at = 0;
     set_state(role, RoleState::unknown);
 }
 
-void RoleAssigner::on_assigned(lease::Role role, std::uint64_t fence, std::uint64_t hold) {
-    Entry& e = entry(role);
-    if (is_leading() || fence < e.fence) return;
-    e.fence = fence;
-    e.record = {node_, incarnation_, hold};
+void RoleAssigner::on_assigned(lease::Role role, std::uint64_t fence, std::uint64_t lease_id) {
+    Entry& assigned = entry(role);
+    if (is_leading() || fence < assigned.fence) return;
+    assigned.fence = fence;
+    assigned.record = {name_, incarnation_, lease_id};
     set_state(role, RoleState::held_here);
 }
 
--- a/src/roles/role_manager.h
+++ b/src/roles/role_manager.h
@@ -1,141 +1,116 @@
-// One controller's part in the duties: which it has, and its acts under them. As leader it
-// appoints, itself at first; cleaning goes to a helper, and so does the talk with the cloud while
-// only the helper's road to it is open. As helper it acts under what the leader charged it with,
-// each charge a lease by its own clock. Handed messages and the time; the clock is read at acts
-// only.
+/// @file
+/// One controller's part in the roles: which of them it holds, and its acts under them.
+///
+/// As leader it assigns them, to itself at first. Garbage collection goes to a helper, and so do
+/// the calls to the cloud while only the helper can reach it. As helper it acts under what the
+/// leader assigned to it, each assignment a lease by its own clock.
 #pragma once
+#include <cstdint>
 #include <functional>
-#include <map>
-#include <optional>
 #include <string>
 #include <vector>
 
-#include "autoscaling/intent_log.h"
+#include "lease/lease_guard.h"
+#include "lease/role.h"
 #include "peers/messages.h"
 #include "roles/delegated_requests.h"
 #include "roles/garbage_collector.h"
+#include "roles/helper_lease.h"
+#include "roles/peer_directory.h"
 #include "roles/role_assigner.h"
+#include "roles/role_services.h"
+#include "wire/cbor.h"
 
 namespace nickelramp::roles {
 
+/// Owned by the controller; every call is made on the loop's thread with its time. The clock is
+/// read at acts only. Guarantees that this controller acts under a role only while lease_for() says
+/// so, and that nobody else does meanwhile.
 class RoleManager {
   public:
-    using CommitDone = std::function<void(Millis, const kvstore::CommitReply&)>;
-    using ListDone = std::function<void(Millis, const kvstore::ListReply&)>;
-    using LeaseDone = std::function<void(Millis, const kvstore::LeaseReply&)>;
-    using ProvisionDone = std::function<void(Millis, const cloud::ProvisionReply&)>;
-    struct Hooks {
-        std::function<Millis()> clock;
-        std::function<lease::Lease()>
-            leader_lease;  // this node's right to decide; its fence is the term
-        // The state service.
-        std::function<void(kvstore::Transaction, CommitDone)> commit;
-        std::function<void(const lease::LeaseProof<lease::GarbageCollection>&, kvstore::Transaction,
-                           CommitDone)>
-            commit_garbage_collection;
-        std::function<void(const std::string& prefix, ListDone)> list;
-        std::function<void(const std::string& prefix, const std::string& after, std::size_t most,
-                           ListDone)>
-            list_page;
-        std::function<bool()> has_spare_budget;
-        std::function<void(Millis life, LeaseDone)> grant_lease;
-        std::function<void(std::uint64_t hold, LeaseDone)> renew_lease;
-        std::function<void(std::uint64_t hold)> revoke_lease;
-        // Peers; false: it could not be sent.
-        std::function<void(const std::string& peer, const peers::RoleAssignment&)> send_assignment;
-        std::function<bool(const std::string& peer, const peers::DelegatedRequest&)> send_request;
-        std::function<void(const std::string& peer, const peers::DelegatedResult&)> send_result;
-        // The cloud.
-        std::function<void(const lease::LeaseProof<lease::ScaleOut>&,
-                           const autoscaling::ProvisioningIntent&, ProvisionDone)>
-            provision;
-        std::function<void(const lease::LeaseProof<lease::ScaleIn>&,
-                           const std::vector<std::string>&, ProvisionDone)>
-            release;
-        std::function<bool(Millis now)> cloud_unreachable;  // it has not answered for long
-        // The leader's book.
-        std::function<void(lease::Role, std::uint64_t fence)> fence_changed;
-    };
-    RoleManager(std::string node, std::uint64_t incarnation, std::size_t most_writes, Hooks hooks);
-
-    // The term begins; `term` is the condition of its transactions, `hold` the leader's.
-    void start_leading(std::uint64_t number, kvstore::Condition term, std::uint64_t hold,
+    using ProvisionDone = RoleCloud::ProvisionDone;
+
+    /// `max_operations` is of one transaction. Replies that come after the manager is destroyed
+    /// must not be delivered to it.
+    RoleManager(std::string name, std::uint64_t incarnation, std::size_t max_operations,
+                RoleServices services);
+
+    // --- the leader's side
+
+    /// The term begins. `condition` is that of its transactions, `lease_id` the leader's lease.
+    void start_leading(std::uint64_t term, kvstore::Condition condition, std::uint64_t lease_id,
                        Millis now);
     void stop_leading();
+    /// A transaction that was conditional on the role's fence failed for it.
     void on_fence_rejected(lease::Role role) { assigner_.on_fence_rejected(role); }
-
-    void on_status(const peers::Status& status, Millis now);
-    void fill_status(peers::Status& status, Millis now) const;
-    void on_assignment(const peers::RoleAssignment& assignment, Millis now);
-    void on_delegated_request(const peers::DelegatedRequest& request, Millis now);
+    /// Sends the helper its assignment; called every second.
+    void send_assignment(Millis now);
+    /// Asks for machines, as the cluster's autoscaler wants it: directly, or through whoever holds
+    /// the role. `done` is called once and never from within the call. `not_sent`: nobody may send
+    /// it now.
+    void provision(const cloud::ProvisioningIntent& intent, ProvisionDone done, Millis now);
+    /// Releases machines, likewise.
+    void release(const std::vector<std::string>& machines, ProvisionDone done, Millis now);
     void on_delegated_result(const peers::DelegatedResult& result, Millis now) {
         delegated_requests_.on_result(result, now);
     }
-    void run_due_work(Millis now);
-    // Charges, every second.
-    void send_assignment(Millis now);
 
-    // What the leader's book asks of the cloud, by whoever has the duty.
-    void provision(const autoscaling::ProvisioningIntent& rental, ProvisionDone done, Millis now);
-    void release(const std::vector<std::string>& machines, ProvisionDone done, Millis now);
+    // --- the helper's side
+
+    /// Tells the leader this helper's lease.
+    void fill_status(peers::Status& status, Millis now) const;
+    void on_assignment(const peers::RoleAssignment& assignment, Millis now);
+    void on_delegated_request(const peers::DelegatedRequest& request);
 
-    const RoleAssigner& assigner() const { return assigner_; }
-    const GarbageCollector& garbage_collector() const { return garbage_collector_; }
-    wire::Json overview() const;
-    // Until when this controller may act under the duty, and by which fence.
-    lease::Lease lease_for(lease::Role role) const;
+    // --- both
+
+    void on_status(const peers::Status& status, Millis now) { peers_.on_status(status, now); }
+    /// Called at every tick.
+    void run_due_work(Millis now);
+
+    [[nodiscard]] const RoleAssigner& assigner() const { return assigner_; }
+    [[nodiscard]] const GarbageCollector& garbage_collector() const { return garbage_collector_; }
+    /// For the administration page.
+    [[nodiscard]] wire::Json overview() const;
+    /// Until when this controller may act under the role, and by which fence.
+    [[nodiscard]] lease::Lease lease_for(lease::Role role) const;
 
   private:
-    // The helper's own hold.
-    enum class HelperLeaseState { none, acquiring, held };
-    void set_helper_lease_state(HelperLeaseState state) { helper_lease_state_ = state; }
-    struct Peer {
-        std::uint64_t incarnation = 0, clock_ms = 0, lease_id = 0;
-        bool state_service_answers = false;  // by the state service
-        Millis last_status_at = 0;
-    };
-    const Peer* fresh_peer(const std::string& name, Millis now) const;
     void choose_helper(Millis now);
     void assign_roles(Millis now);
+    void assign_role(lease::Role role, const PeerDirectory::Peer* helper, Millis now);
     bool better_held_by_helper(lease::Role role, Millis now) const;
-    void maintain_helper_lease(Millis now);
-    void drop_helper_lease(const char* why);
-    void answer_next_turn(ProvisionDone done, cloud::ProvisionReply reply) {
-        deferred_answers_.emplace_back(std::move(done), std::move(reply));
-    }
-    template <typename Send>
-    void dispatch_request(lease::Role role, peers::DelegatedRequest request, ProvisionDone done,
-                          Millis now, Send&& send);
+    lease::RoleRecord helper_record(const PeerDirectory::Peer& helper) const;
+    void assign_from(const peers::RoleAssignment& assignment, lease::Role role, Millis valid_until);
+    void delegate(lease::Role role, peers::DelegatedRequest request, ProvisionDone done,
+                  Millis now);
+    void answer_not_sent(ProvisionDone done);
+    bool execute_provision(const peers::DelegatedRequest& request, const ProvisionDone& done);
+    bool execute_release(const peers::DelegatedRequest& request, const ProvisionDone& done);
 
-    std::string node_;
+    std::string name_;
     std::uint64_t incarnation_;
-    Hooks hooks_;
+    RoleServices services_;
     RoleAssigner assigner_;
     GarbageCollector garbage_collector_;
     DelegatedRequests delegated_requests_;
+    PeerDirectory peers_;
     lease::LeaseGuard<lease::ScaleOut> scale_out_guard_;
     lease::LeaseGuard<lease::ScaleIn> scale_in_guard_;
     lease::LeaseGuard<lease::GarbageCollection> garbage_collection_guard_;
-    std::vector<std::pair<ProvisionDone, cloud::ProvisionReply>>
-        deferred_answers_;  // answered at the next turn
+    std::vector<std::function<void(Millis now)>> deferred_;  // answers given at the next turn
 
     // As leader.
     std::uint64_t term_ = 0;
     Millis leading_since_ = 0;
-    std::map<std::string, Peer> peers_;
-    std::string helper_;
-    Millis assignment_sent_at_[lease::kRoleCount] =
-        {};  // the last charge with it that this leader sent
+    std::string helper_;  // empty: none
+    // When this leader last sent an assignment with the role.
+    Millis assignment_sent_at_[lease::kRoleCount] = {};
 
     // As helper.
-    HelperLeaseState helper_lease_state_ = HelperLeaseState::none;
-    std::uint64_t helper_lease_id_ = 0;
-    lease::LeaseValidity helper_lease_validity_;
-    Millis renew_at_ = 0;
-    Millis keep_helper_lease_until_ =
-        0;  // nobody has charged this controller since long: its hold ends
+    HelperLease helper_lease_;
     Millis assigned_until_[lease::kRoleCount] = {};
-    std::uint64_t assigning_term_ = 0;
+    std::uint64_t assigning_term_ = 0;  // of the last assignment; earlier ones are ignored
 };
 
 }  // namespace nickelramp::roles
--- a/tests/golden_transactions_test.cpp
+++ b/tests/golden_transactions_test.cpp
@@ -204,21 +204,32 @@
     bytes("news", peers::encode(*shard_status).frame);
 }
 
-TEST_F(GoldenTransactions, RoleRecords) {
+// No role has a record; transactions are answered by the test.
+struct RoleRecords : roles::RoleRecordStore {
     std::vector<kvstore::Transaction> sent;
-    std::vector<std::function<void(Millis, const kvstore::CommitReply&)>> answers;
-    roles::RoleAssigner keeper("ramper-0", 99,
-                               {[&](kvstore::Transaction transaction, auto done) {
-                                    sent.push_back(std::move(transaction));
-                                    answers.push_back(std::move(done));
-                                },
-                                [](auto done) {
-                                    kvstore::ListReply none;
-                                    none.status = kvstore::Status::ok;
-                                    none.revision = 50;
-                                    done(1000, none);
-                                },
-                                [](Role, std::uint64_t) {}});
+    std::vector<CommitDone> answers;
+    void commit(kvstore::Transaction transaction, CommitDone done) override {
+        sent.push_back(std::move(transaction));
+        answers.push_back(std::move(done));
+    }
+    void list_roles(ListDone done) override {
+        kvstore::ListReply none;
+        none.status = kvstore::Status::ok;
+        none.revision = 50;
+        done(1000, none);
+    }
+};
+
+struct IgnoredFences : roles::FenceObserver {
+    void on_fence_changed(Role, std::uint64_t) override {}
+};
+
+TEST_F(GoldenTransactions, RoleRecords) {
+    RoleRecords records;
+    IgnoredFences fences;
+    auto& sent = records.sent;
+    auto& answers = records.answers;
+    roles::RoleAssigner keeper("ramper-0", 99, records, fences);
     keeper.start_leading({"lead/term", 70}, 12, 1000);
     ASSERT_EQ(sent.size(), 1u);
     transaction("claimed", sent[0]);
@@ -233,55 +244,57 @@
 }
 
 // Answers at once: runs of jobs, every second of which is over.
-struct Swept {
+struct CollectedStore : roles::GarbageCollectionStore {
     std::vector<kvstore::Transaction> sent;
     std::vector<std::string> asked;
     Millis now = 1000;
-    lease::LeaseGuard<lease::GarbageCollection> gate{[this] { return now; },
-                                                     [] {
-                                                         return lease::Lease{63, kNever};
-                                                     }};
-    roles::GarbageCollector sweep{
-        6,
-        {[this](const std::string& prefix, const std::string& after, std::size_t most, auto done) {
-             asked.push_back(prefix + " after '" + after + "' " + std::to_string(most));
-             kvstore::ListReply reply;
-             reply.status = kvstore::Status::ok;
-             reply.revision = 70;
-             reply.more = true;
-             if (prefix == "run/")
-                 reply.entries = {{"run/job-1/0", {}, 31, false}, {"run/job-2/0", {}, 32, false}};
-             if (prefix == "open/") reply.entries = {{"open/job-2", {}, 33, false}};
-             if (prefix == roles::kCursorKey)
-                 reply.entries = {{prefix, {{"after", "run/job-0/0"}, {"rounds", 4}}, 34, false}};
-             done(now, reply);
-         },
-         [this](const auto&, kvstore::Transaction transaction, auto done) {
-             sent.push_back(std::move(transaction));
-             kvstore::CommitReply reply;
-             reply.status = kvstore::Status::ok;
-             reply.revision = 90;
-             done(now, reply);
-         },
-         [] { return true; }}};
+    lease::LeaseGuard<lease::GarbageCollection> guard{[this] { return now; },
+                                                      [] {
+                                                          return lease::Lease{63, kNever};
+                                                      }};
+    roles::GarbageCollector collector{6, *this};
+
+    void list_page(const std::string& prefix, const std::string& after, std::size_t limit,
+                   ListDone done) override {
+        asked.push_back(prefix + " after '" + after + "' " + std::to_string(limit));
+        kvstore::ListReply reply;
+        reply.status = kvstore::Status::ok;
+        reply.revision = 70;
+        reply.more = true;
+        if (prefix == "run/")
+            reply.entries = {{"run/job-1/0", {}, 31, false}, {"run/job-2/0", {}, 32, false}};
+        if (prefix == "open/") reply.entries = {{"open/job-2", {}, 33, false}};
+        if (prefix == roles::kCursorKey)
+            reply.entries = {{prefix, {{"after", "run/job-0/0"}, {"rounds", 4}}, 34, false}};
+        done(now, reply);
+    }
+    void commit_garbage_collection(const Proof&, kvstore::Transaction transaction,
+                                   CommitDone done) override {
+        sent.push_back(std::move(transaction));
+        kvstore::CommitReply reply;
+        reply.status = kvstore::Status::ok;
+        reply.revision = 90;
+        done(now, reply);
+    }
+    bool has_spare_budget() const override { return true; }
 };
 
 TEST_F(GoldenTransactions, RecordsDeletedByGarbageCollectionAndItsCursor) {
-    Swept s;
+    CollectedStore store;
     for (int i = 0; i < 20; ++i) {
-        s.sweep.run_due_work(s.gate.prove(), s.now);
-        s.now += 5000;
+        store.collector.run_due_work(store.guard.prove(), store.now);
+        store.now += 5000;
     }
-    ASSERT_GT(s.sent.size(), 16u);
-    transaction("dropped", s.sent[0]);
-    transaction("cursor", s.sent[16]);
-    ASSERT_GT(s.asked.size(), 4u);
+    ASSERT_GT(store.sent.size(), 16u);
+    transaction("dropped", store.sent[0]);
+    transaction("cursor", store.sent[16]);
+    ASSERT_GT(store.asked.size(), 4u);
     std::string asked;
-    for (std::size_t i = 0; i < 5; ++i) asked += s.asked[i] + "\n";
+    for (std::size_t i = 0; i < 5; ++i) asked += store.asked[i] + "\n";
     text("pages", asked);
 }
 
-// The state service as an election sees it: a free seat, and term 6 before it.
+// The key-value store as an election sees it: no leader, and term 6 before it.
 struct ElectionStore : election::ElectionStore {
     std::vector<kvstore::Transaction> sent;
     std::string calls;
@@ -324,14 +337,19 @@
     void revoke_lease(std::uint64_t) override {}
 };
 
+struct IgnoredElection : election::ElectionObserver {
+    void on_elected(std::uint64_t, std::uint64_t) override {}
+    void on_lease_confirmed(Millis) override {}
+    void on_deposed() override {}
+    void on_leader_changed(const std::string&) override {}
+};
+
 TEST_F(GoldenTransactions, LeaderAndTermKeys) {
     for (bool first : {false, true}) {
         ElectionStore store;
         store.first = first;
-        election::Election election(
-            store, "ramper-0", 1,
-            {[](std::uint64_t, std::uint64_t) {}, [](Millis) {}, [](const std::string&) {},
-             [](const std::string&) {}, [](Millis) {}});
+        IgnoredElection observer;
+        election::Election election(store, observer, "ramper-0", 1, [](Millis) {});
         election.start();
         election.run_due_work(2000);
         ASSERT_EQ(store.sent.size(), 1u);
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -102,6 +102,28 @@
     EXPECT_EQ(server.connections(), 1u);
 }
 
+// One controller as far as the election goes.
+struct Candidate : private election::ElectionObserver {
+    std::uint64_t term = 0;
+    bool leads = false;
+    Millis lease_confirmed_until = 0;
+    election::ElectionDriver election;
+
+    Candidate(uv_loop_t* loop, kvstore::Client& client, const char* name, std::uint64_t seed)
+        : election(loop, client, name, seed, *this) {
+        election.start();
+    }
+
+  private:
+    void on_elected(std::uint64_t elected_term, std::uint64_t) override {
+        term = elected_term;
+        leads = true;
+    }
+    void on_lease_confirmed(Millis valid_until) override { lease_confirmed_until = valid_until; }
+    void on_deposed() override { leads = false; }
+    void on_leader_changed(const std::string&) override {}
+};
+
 // Users write more than the state service takes; somebody is elected all the same.
 TEST_F(Loopback, UserRequestsDoNotDelayElections) {
     test::StateServiceEmulator standin(&loop, 39305);
@@ -115,15 +137,8 @@
         state.commit(transaction, kvstore::RequestClass::user, 60'000,
                      [&](const kvstore::CommitReply&) { ++written; });
     }
-    bool elected = false;
-    election::ElectionDriver runner(&loop, state, "a", 1,
-                                    {[&](std::uint64_t, std::uint64_t) { elected = true; },
-                                     [](Millis) {},
-                                     [](const std::string&) {},
-                                     [](const std::string&) {},
-                                     {}});
-    runner.start();
-    EXPECT_TRUE(until([&] { return elected; }));
+    Candidate candidate(&loop, state, "a", 1);
+    EXPECT_TRUE(until([&] { return candidate.leads; }));
     EXPECT_LT(written, kSubmissions / 2);
 }
 
@@ -247,35 +262,19 @@
 }
 
 TEST_F(Loopback, OneLeaderIsElectedAndSucceeded) {
-    test::StateServiceEmulator standin(&loop, 39305);
-    struct Candidate {
-        kvstore::Client state;
-        std::uint64_t term = 0;
-        bool leads = false;
-        Millis certain = 0;
-        election::ElectionDriver election;
-        Candidate(uv_loop_t* loop, const char* name, std::uint64_t seed)
-            : state(loop, *net::parse_address("127.0.0.1:39305"), "state", {200, 200}),
-              election(loop, state, name, seed,
-                       {[this](std::uint64_t t, std::uint64_t) {
-                            term = t;
-                            leads = true;
-                        },
-                        [this](Millis until) { certain = until; },
-                        [this](const std::string&) { leads = false; },
-                        [](const std::string&) {},
-                        {}}) {
-            election.start();
-        }
-    };
-    Candidate a(&loop, "a", 1), b(&loop, "b", 2);
+    test::StateServiceEmulator state_service(&loop, 39305);
+    const auto address = *net::parse_address("127.0.0.1:39305");
+    kvstore::Client client_a(&loop, address, "state", {200, 200});
+    kvstore::Client client_b(&loop, address, "state", {200, 200});
+    Candidate a(&loop, client_a, "a", 1);
+    Candidate b(&loop, client_b, "b", 2);
     ASSERT_TRUE(until([&] { return a.leads || b.leads; }));
     Candidate& first = a.leads ? a : b;
     Candidate& second = a.leads ? b : a;
     ASSERT_TRUE(until([&] { return second.election.leader() == (&first == &a ? "a" : "b"); }));
     EXPECT_FALSE(a.leads && b.leads);
-    EXPECT_GT(first.certain, 0);
-    EXPECT_EQ(first.election.lease_valid_until(), first.certain);
+    EXPECT_GT(first.lease_confirmed_until, 0);
+    EXPECT_EQ(first.election.lease_valid_until(), first.lease_confirmed_until);
     first.election.step_down("test", 60'000);
     ASSERT_TRUE(until([&] { return second.leads; }));
     EXPECT_FALSE(first.leads);
@@ -284,15 +283,15 @@
 }
 
 TEST(Election, ALeaseIsValidFromTheSendingOfItsRenewal) {
-    lease::LeaseValidity v(4000);
-    EXPECT_FALSE(v.valid(0));
-    v.extend(1000);
-    EXPECT_TRUE(v.valid(4900));
-    EXPECT_FALSE(v.valid(5000 - 4));  // drift is allowed for
-    v.extend(500);                    // an older answer that came late
-    EXPECT_TRUE(v.valid(4900));
-    v.reset();
-    EXPECT_FALSE(v.valid(1001));
+    lease::LeaseValidity validity(4000);
+    EXPECT_FALSE(validity.valid(0));
+    validity.extend(1000);
+    EXPECT_TRUE(validity.valid(4900));
+    EXPECT_FALSE(validity.valid(5000 - 4));  // clock drift is allowed for
+    validity.extend(500);                    // an older reply that came late
+    EXPECT_TRUE(validity.valid(4900));
+    validity.reset();
+    EXPECT_FALSE(validity.valid(1001));
 }
 
 TEST(ShardLeaseTable, GrantsAreRecordedWithRisingTokens) {
