--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -55,7 +55,7 @@
       confirmed_reads_(loop, store_client_, settings),
       job_requests_(settings, confirmed_reads_.store(), confirmed_reads_.reads(),
                     job_request_hooks()),
-      election_(loop, store_client_, settings.name, random_seed(settings.name), election_hooks()),
+      election_(loop, store_client_, settings.name, random_seed(settings.name), *this),
       machine_types_(loop, store_client_, cloud_client_, *this),
       term_(term_dependencies(), *this),
       shard_holder_(settings, clock_, gateway_services(), random_incarnation(settings.name)),
@@ -67,8 +67,11 @@
                          [this](const std::string& peer, const peers::PeerFrame& frame) {
                              return peer_coordinator_.network().send_batched(peer, frame);
                          }),
+      role_services_(
+          role_connections(), term_.scheduling_guard(), [this] { return term_.scheduling_lease(); },
+          [this](lease::Role role, std::uint64_t fence) { on_role_fence_changed(role, fence); }),
       role_manager_(settings.name, shard_holder_.holder().incarnation(), settings.state_txn_ops,
-                    role_manager_hooks()),
+                    role_services_.services()),
       peer_coordinator_(peer_dependencies()),
       admin_requests_(loop, store_client_, metrics_, *this),
       router_(router_dependencies()),
@@ -88,6 +91,10 @@
 
 // --- connections of the parts
 
+RoleServices::Connections Controller::role_connections() {
+    return {clock_.loop(), store_client_, cloud_client_, peer_coordinator_};
+}
+
 LiveServiceGateway::Services Controller::gateway_services() {
     return {clock_.loop(), store_client_, worker_connections_, role_manager_};
 }
@@ -118,17 +125,19 @@
             }};
 }
 
-election::Election::Hooks Controller::election_hooks() {
-    election::Election::Hooks hooks;
-    hooks.elected = [this](std::uint64_t term, std::uint64_t version) {
-        term_.begin_loading(term, version);
-    };
-    hooks.lease_confirmed = [this](Millis until) { term_.confirm_lease_until(until); };
-    hooks.deposed = [this](const std::string&) { term_.begin_closing(); };
-    hooks.leader_changed = [](const std::string& leader) {
-        spdlog::info("leader changed: leader={}", leader.empty() ? "none" : leader);
-    };
-    return hooks;
+void Controller::on_elected(std::uint64_t term, std::uint64_t version) {
+    term_.begin_loading(term, version);
+}
+
+void Controller::on_lease_confirmed(Millis valid_until) { term_.confirm_lease_until(valid_until); }
+
+void Controller::on_leader_changed(const std::string& leader) {
+    spdlog::info("leader changed: leader={}", leader.empty() ? "none" : leader);
+}
+
+void Controller::on_role_fence_changed(lease::Role role, std::uint64_t fence) {
+    if (control::ControlLoop* control_loop = term_.control_loop())
+        control_loop->set_role_fence(role, fence);
 }
 
 // Counts of a job's tasks for display: of the control loop, if this controller has one, else as the
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -20,6 +20,7 @@
 #include "controller/peer_coordinator.h"
 #include "controller/readiness_monitor.h"
 #include "controller/request_router.h"
+#include "controller/role_services.h"
 #include "controller/shard_holder_runner.h"
 #include "controller/term_runner.h"
 #include "controller/worker_connections.h"
@@ -45,6 +46,7 @@
 class Controller : private HeartbeatHandler::Environment,
                    private MachineTypeStore::Listener,
                    private TermRunner::Listener,
+                   private election::ElectionObserver,
                    private admin::AdminRequestHandler::Backend {
   public:
     /// The loop and the settings must outlive the controller. Nothing is sent before `start`.
@@ -79,6 +81,12 @@
     void on_term_ended() override { instance_poller_.stop(); }
     void on_open_jobs_applied() override { peer_coordinator_.send_shard_grants(); }
 
+    // election::ElectionObserver
+    void on_elected(std::uint64_t term, std::uint64_t version) override;
+    void on_lease_confirmed(Millis valid_until) override;
+    void on_deposed() override { term_.begin_closing(); }
+    void on_leader_changed(const std::string& leader) override;
+
     // admin::AdminRequestHandler::Backend
     wire::Json status() const override;
     void update_gauges() override;
@@ -86,8 +94,8 @@
 
     // Connections of the parts that take hooks.
     api::JobRequestHandler::Hooks job_request_hooks();
-    election::Election::Hooks election_hooks();
-    roles::RoleManager::Hooks role_manager_hooks();
+    RoleServices::Connections role_connections();
+    void on_role_fence_changed(lease::Role role, std::uint64_t fence);
     LiveServiceGateway::Services gateway_services();
     TermRunner::Dependencies term_dependencies();
     PeerCoordinator::Dependencies peer_dependencies();
@@ -120,6 +128,7 @@
     ReadinessMonitor readiness_;
     partition::PartitionResponder partition_responder_;
     HeartbeatHandler heartbeat_handler_;
+    RoleServices role_services_;
     roles::RoleManager role_manager_;
     PeerCoordinator peer_coordinator_;
     admin::AdminRequestHandler admin_requests_;
--- a/src/controller/peer_coordinator.cpp
+++ b/src/controller/peer_coordinator.cpp
@@ -73,7 +73,7 @@
 }
 
 void PeerCoordinator::on_delegated_request(const peers::DelegatedRequest& request) {
-    parts_.role_manager.on_delegated_request(request, parts_.clock.now());
+    parts_.role_manager.on_delegated_request(request);
 }
 
 void PeerCoordinator::on_delegated_result(const peers::DelegatedResult& result) {
