--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -2,12 +2,12 @@
 //
 // Exit status: 0 after --help, --version and --check, 1 if the addresses cannot be listened on,
 // 2 for bad input.
-#include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <uv.h>
 
 #include <CLI/CLI.hpp>
+#include <csignal>
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
--- a/src/controller/term_loader.cpp
+++ b/src/controller/term_loader.cpp
@@ -92,10 +92,10 @@
     }
     auto records = std::make_shared<TermRecords>();
     records->requested_at = clock_.now();
-    read_from(0, std::move(records));
+    read_from(0, records);
 }
 
-void TermLoader::read_from(std::size_t step, std::shared_ptr<TermRecords> records) {
+void TermLoader::read_from(std::size_t step, const std::shared_ptr<TermRecords>& records) {
     if (step == std::size(kReadSteps)) {
         loading_ = false;
         listener_.on_term_records(*records);
--- a/src/controller/term_loader.h
+++ b/src/controller/term_loader.h
@@ -44,7 +44,7 @@
 
   private:
     void read_all();
-    void read_from(std::size_t step, std::shared_ptr<TermRecords> records);
+    void read_from(std::size_t step, const std::shared_ptr<TermRecords>& records);
 
     const LoopClock& clock_;
     kvstore::Client& store_client_;
--- a/src/controller/worker_connections.cpp
+++ b/src/controller/worker_connections.cpp
@@ -3,7 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <compare>
+#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -21,10 +21,13 @@
 struct IdleConnection {
     Millis used_at = 0;
     std::string machine;
-    // The one that has been idle longest first.
-    auto operator<=>(const IdleConnection&) const = default;
 };
 
+// The one that has been idle longest first.
+bool idle_longer(const IdleConnection& left, const IdleConnection& right) {
+    return std::tie(left.used_at, left.machine) < std::tie(right.used_at, right.machine);
+}
+
 cluster::CommandReply decode_reply(const net::ClientReply& reply) {
     cluster::CommandReply command_reply;
     if (reply.outcome == net::ClientReply::Outcome::refused) {
@@ -75,7 +78,7 @@
     for (const auto& [machine, entry] : clients_) {
         if (entry.client->idle()) idle.push_back({entry.used_at, machine});
     }
-    std::sort(idle.begin(), idle.end());
+    std::sort(idle.begin(), idle.end(), idle_longer);
     for (const IdleConnection& connection : idle) {
         if (clients_.size() <= max_connections_) return;
         clients_.erase(connection.machine);
