--- a/src/readiness/peer_health.h
+++ b/src/readiness/peer_health.h
@@ -22,7 +22,7 @@
 /// `peer_status_at` when the status came that says so.
 [[nodiscard]] inline bool peer_served_meanwhile(Millis unserved_since, Millis peer_answered_at,
                                                 Millis peer_status_at, Millis now) {
-    // Longer than the clocks and the age of a status may be off.
+    // So that an answer from the moment at which the outage began does not count.
     constexpr Millis kMinDelay = kMinOutageDuration / 3;
     return now - peer_status_at < kPeerStatusLifetime &&
            peer_answered_at > unserved_since + kMinDelay;
