--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -1,4 +1,5 @@
-// Real sockets on loopback: HTTP at the door, the users' desk and the election against a stand-in.
+/// @file
+/// Real sockets on loopback: HTTP, requests of users, and the election against emulated services.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -124,20 +125,20 @@
     void on_leader_changed(const std::string&) override {}
 };
 
-// Users write more than the state service takes; somebody is elected all the same.
+// Users write more than the state service accepts; a leader is elected all the same.
 TEST_F(Loopback, UserRequestsDoNotDelayElections) {
-    test::StateServiceEmulator standin(&loop, 39305);
-    kvstore::Client state(&loop, *net::parse_address("127.0.0.1:39305"), "state", {200, 10});
+    test::StateServiceEmulator state_service(&loop, 39305);
+    kvstore::Client client(&loop, *net::parse_address("127.0.0.1:39305"), "state", {200, 10});
     std::size_t written = 0;
-    constexpr std::size_t kSubmissions = 200;  // 40 s of changes
+    constexpr std::size_t kSubmissions = 200;  // 40 s of writes
     for (std::size_t i = 0; i < kSubmissions; ++i) {
         kvstore::Transaction transaction;
         const std::string n = std::to_string(i);
         transaction.writes = {{"job/" + n, Json{{"n", i}}, 0}, {"open/" + n, Json{{"n", i}}, 0}};
-        state.commit(transaction, kvstore::RequestClass::user, 60'000,
-                     [&](const kvstore::CommitReply&) { ++written; });
+        client.commit(transaction, kvstore::RequestClass::user, 60'000,
+                      [&](const kvstore::CommitReply&) { ++written; });
     }
-    Candidate candidate(&loop, state, "a", 1);
+    Candidate candidate(&loop, client, "a", 1);
     EXPECT_TRUE(until([&] { return candidate.leads; }));
     EXPECT_LT(written, kSubmissions / 2);
 }
--- a/tests/roles_test.cpp
+++ b/tests/roles_test.cpp
@@ -1,5 +1,6 @@
-// Duties among whole controllers that fail: no two act under one, each has a holder soon after any
-// failure, and what a replaced holder had under way does no harm.
+/// @file
+/// Roles among whole controllers that fail: no two act under one role, each role has a holder soon
+/// after any failure, and what a replaced holder had under way does no harm.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -13,25 +14,26 @@
 using lease::Role;
 using test::ElectionSimulation;
 
-// Jobs whose records are there, and some of which only runs are left.
-std::size_t fill(ElectionSimulation& simulation, int jobs, int over_every) {
-    std::size_t left = 0;
-    for (int n = 0; n < jobs; ++n) {
-        const std::string id = "job-" + std::to_string(100'000 + n);
-        const bool over = n % over_every == 0;
-        if (!over) simulation.set_key(jobs::open_key(id), {{"id", id}});
+// Writes the records of jobs; of every `orphan_every`th, only runs are left. Returns the number of
+// these orphaned records.
+std::size_t write_jobs(ElectionSimulation& simulation, int jobs, int orphan_every) {
+    std::size_t orphans = 0;
+    for (int job = 0; job < jobs; ++job) {
+        const std::string id = "job-" + std::to_string(100'000 + job);
+        const bool orphaned = job % orphan_every == 0;
+        if (!orphaned) simulation.set_key(jobs::open_key(id), {{"id", id}});
         for (std::uint32_t chunk = 0; chunk < 2; ++chunk) {
             simulation.set_key(jobs::run_key(id, chunk), {{"done", 0}});
-            if (over) ++left;
+            if (orphaned) ++orphans;
         }
     }
-    return left;
+    return orphans;
 }
 
 TEST(Roles, OneControllerLeadsAndAHelperCollectsGarbage) {
     ElectionSimulation simulation(1, 3);
-    const std::size_t left = fill(simulation, 200, 5);
-    ASSERT_EQ(left, 80u);
+    const std::size_t orphans = write_jobs(simulation, 200, 5);
+    ASSERT_EQ(orphans, 80u);
     simulation.run_until(15'000);
     const std::size_t leader = simulation.leader();
     ASSERT_LT(leader, simulation.size());
@@ -41,16 +43,16 @@
     EXPECT_LT(helper, simulation.size());
     EXPECT_NE(helper, leader);
     simulation.run_until(60'000);
-    EXPECT_EQ(simulation.count_keys("run/"), 2u * 200 - left)
-        << "all that is left over, and nothing else";
+    EXPECT_EQ(simulation.count_keys("run/"), 2u * 200 - orphans)
+        << "every orphan is deleted, and nothing else";
     EXPECT_EQ(simulation.count_keys("open/"), 160u);
     EXPECT_GT(simulation.act_count(Role::scale_out), 20u);
     // Four pages of runs, those of open records beside them, 27 transactions.
     EXPECT_LT(simulation.role_manager(helper).garbage_collector().requests(), 45u);
 }
 
-// The leader's road to the cloud is lost: the helper asks in its name, and the duties come back
-// when the road does. No two of them act meanwhile, whatever is under way between them.
+// The leader cannot reach the cloud: the helper calls it in the leader's name, and the roles return
+// when the partition ends. No two controllers act meanwhile, whatever is under way between them.
 TEST(Roles, AHelperCallsTheCloudWhileTheLeaderCannot) {
     for (std::uint64_t seed = 20; seed < 30 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -70,22 +72,22 @@
     }
 }
 
-// The same name is back as another process while its former hold lives, while its own claim of the
-// seat or another's is under way, twice in a row, all at once. The seat falls free with the old
-// hold at the latest, and nothing that was meant for the former process does anything to this one.
+// A controller is back as another process while its former lease lives, while its own claim of
+// leadership or another's is under way, twice in a row, all at once. The leader key vanishes with
+// the old lease at the latest, and nothing that was meant for the former process affects this one.
 TEST(Roles, ControllersThatRestartAtOnceKeepTheRulesOfRoles) {
     std::size_t late = 0;
     for (std::uint64_t seed = 300; seed < 380 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ElectionSimulation simulation(seed, 3 + seed % 3);
         simulation.message_loss = seed % 4 == 0 ? 0.02 : 0;
-        // Claims of the seat and releases of holds are carried out late, when the process that sent
-        // them, or its successor under the same name, has claimed anew.
+        // Claims of leadership and revocations of leases are executed late, when the process that
+        // sent them, or its successor under the same name, has claimed anew.
         simulation.late_writes = seed >= 340 ? 0.3 : 0;
         simulation.run_until(20'000);
         const auto leader = simulation.leader();
         ASSERT_LT(leader, simulation.size());
-        // A step of 7 ms each, so that the blow meets every step of the election that follows.
+        // Steps of 7 ms, so that the crash meets every phase of the election that follows.
         const auto step = static_cast<Millis>((seed - 300) % 40);
         simulation.crash(leader, 50 + 7 * step);
         simulation.run_until(simulation.now() + 3'900 + 7 * step);
@@ -101,13 +103,13 @@
             without = simulation.leader() == simulation.size() ? without + 100 : without;
         }
         EXPECT_LT(simulation.leader(), simulation.size());
-        // A hold of 4 s, and the election; a claim that is carried out late takes the seat, and
-        // leaves it when its hold ends.
+        // A lease of 4 s, and the election; a claim that is executed late writes the leader key,
+        // which vanishes when its lease ends.
         EXPECT_LE(without, simulation.late_writes > 0    ? 12'000
                            : simulation.message_loss > 0 ? 9'000
                                                          : 6'500);
         late += simulation.late_applied();
-        // What is still under way late comes within 12 s.
+        // What is still to be executed late comes within 12 s.
         const Millis settled = simulation.late_writes > 0 ? 30'000 : 15'000;
         simulation.late_writes = 0;
         simulation.run_until(simulation.now() + settled);
@@ -117,12 +119,13 @@
     EXPECT_GT(late, 5u);
 }
 
-// After any single failure each duty is somebody's again within a hold's life, the next leader's
-// start and, where a helper was charged, the charge's end: 15 s. The bound is the page's.
+// After any single failure each role has a holder again within a lease's duration, the next
+// leader's start and, where a helper was assigned the role, the end of the assignment: 15 s, as
+// documented.
 TEST(Roles, EachHasAHolderSoonAfterAnySingleFailure) {
     struct Failure {
         const char* name;
-        std::function<void(ElectionSimulation&, std::size_t)> strike;
+        std::function<void(ElectionSimulation&, std::size_t)> inject;
     };
     const Failure failures[] = {
         {"crash",
@@ -153,13 +156,13 @@
          }},
     };
     std::uint64_t seed = 100;
-    for (const Failure& f : failures) {
+    for (const Failure& failure : failures) {
         for (bool of_leader : {true, false}) {
             for (std::size_t n : {3u, 5u}) {
                 if (HasFailure()) return;
                 SCOPED_TRACE(testing::Message()
-                             << f.name << " of the " << (of_leader ? "leader" : "helper") << ", "
-                             << n << " controllers");
+                             << failure.name << " of the " << (of_leader ? "leader" : "helper")
+                             << ", " << n << " controllers");
                 ElectionSimulation simulation(++seed, n);
                 simulation.run_until(20'000);
                 for (Role role : lease::kAllRoles) simulation.longest_vacancy(role);
@@ -167,7 +170,7 @@
                                             ? simulation.leader()
                                             : simulation.role_holder(Role::garbage_collection);
                 ASSERT_LT(who, simulation.size());
-                f.strike(simulation, who);
+                failure.inject(simulation, who);
                 simulation.run_until(60'000);
                 for (Role role : lease::kAllRoles) {
                     EXPECT_LT(simulation.role_holder(role), simulation.size()) << name(role);
@@ -178,21 +181,22 @@
     }
 }
 
-// Everything at once, for many seeds: crashes, freezes with running clocks, cuts of every road with
-// messages lost or held, outages. The town asserts at every act that nobody else may act.
+// Everything at once, for many seeds: crashes, freezes with running clocks, partitions of every
+// link with messages lost or held, outages. The simulation asserts at every act that nobody else
+// may act.
 TEST(Roles, NoTwoControllersActUnderOneRoleWhateverFails) {
     std::size_t acts = 0, by_helpers = 0, refused = 0, late = 0;
     for (std::uint64_t seed = 1000; seed < 1060 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         std::mt19937_64 random(seed);
-        auto upto = [&](Millis most) { return static_cast<Millis>(random() % most); };
+        auto up_to = [&](Millis max) { return static_cast<Millis>(random() % max); };
         ElectionSimulation simulation(seed, 3 + seed % 3);
-        const std::size_t left = fill(simulation, 60, 4);
+        const std::size_t orphans = write_jobs(simulation, 60, 4);
         simulation.message_loss = 0.03;
         simulation.late_writes = seed % 2 == 0 ? 0.2 : 0;
         simulation.run_until(10'000);
         while (simulation.now() < 140'000 && !HasFailure()) {
-            // The leader and the helper have it worst.
+            // The leader and the helper are hit most often.
             std::size_t who = random() % simulation.size();
             if (random() % 3 == 0) who = std::min(simulation.leader(), simulation.size() - 1);
             if (random() % 4 == 0)
@@ -201,41 +205,41 @@
             const bool held = random() % 2 == 0;
             switch (random() % 6) {
                 case 0:
-                    simulation.crash(who, 500 + upto(6'000));
+                    simulation.crash(who, 500 + up_to(6'000));
                     break;
                 case 1:
-                    simulation.freeze(who, 1'000 + upto(12'000));
+                    simulation.freeze(who, 1'000 + up_to(12'000));
                     break;
                 case 2:
-                    simulation.partition(who, ElectionSimulation::Link::state, 1'000 + upto(15'000),
-                                         held);
+                    simulation.partition(who, ElectionSimulation::Link::state,
+                                         1'000 + up_to(15'000), held);
                     break;
                 case 3:
-                    simulation.partition(who, ElectionSimulation::Link::cloud, 5'000 + upto(25'000),
-                                         held);
+                    simulation.partition(who, ElectionSimulation::Link::cloud,
+                                         5'000 + up_to(25'000), held);
                     break;
                 case 4:
-                    simulation.partition(who, ElectionSimulation::Link::peers, 2'000 + upto(20'000),
-                                         held);
+                    simulation.partition(who, ElectionSimulation::Link::peers,
+                                         2'000 + up_to(20'000), held);
                     break;
                 case 5:
-                    if (random() % 3 == 0) simulation.take_state_service_down(1'000 + upto(8'000));
+                    if (random() % 3 == 0) simulation.take_state_service_down(1'000 + up_to(8'000));
                     break;
             }
-            simulation.run_until(simulation.now() + 500 + upto(7'000));
+            simulation.run_until(simulation.now() + 500 + up_to(7'000));
         }
         late += simulation.late_applied();
         simulation.message_loss = simulation.late_writes = 0;
         simulation.run_until(simulation.now() + 180'000);
         for (Role role : lease::kAllRoles)
             EXPECT_LT(simulation.role_holder(role), simulation.size()) << name(role);
-        EXPECT_EQ(simulation.count_keys("run/"), 120u - left)
-            << "left over for ever, or dropped while needed";
+        EXPECT_EQ(simulation.count_keys("run/"), 120u - orphans)
+            << "left for ever, or deleted while needed";
         for (Role role : lease::kAllRoles) acts += simulation.act_count(role);
         by_helpers += simulation.acts_by_helper();
         refused += simulation.acts_refused();
     }
-    // The days are worth something.
+    // The simulations exercised what they are for.
     EXPECT_GT(acts, 5'000u);
     EXPECT_GT(by_helpers, 200u);
     EXPECT_GT(refused, 2u);
