--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -9,7 +9,6 @@
 #include "drain/request_handler.h"
 #include "net/address.h"
 #include "net/limits.h"
-#include "net/timed.h"
 #include "readiness/peer_health.h"
 
 namespace nickelramp::controller {
