--- a/emulator/cloud_emulator.cpp
+++ b/emulator/cloud_emulator.cpp
@@ -73,7 +73,7 @@
         machine.up_at = now() + seconds(settings_.boot_s * spread(random_));
         boots_.emplace(machine.up_at, name);
         machines_.emplace(name, std::move(machine));
-        names.push_back(name);
+        names.emplace_back(name);
         ++counters_.rented;
     }
     reply(r, 200, {{"hosts", names}});
--- a/emulator/cloud_emulator.h
+++ b/emulator/cloud_emulator.h
@@ -1,4 +1,4 @@
-// A stand-in for the cloud on loopback: rents hollow workers, which are up after their boot time.
+// Emulates the cloud on loopback: provisions emulated workers, which begin after their boot time.
 #pragma once
 #include <uv.h>
 
--- a/emulator/controller_processes.cpp
+++ b/emulator/controller_processes.cpp
@@ -1,11 +1,11 @@
 #include "emulator/controller_processes.h"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstring>
 #include <filesystem>
 #include <fstream>
--- a/emulator/main.cpp
+++ b/emulator/main.cpp
@@ -1,10 +1,10 @@
-// nickelramp-scale: see docs/CAPACITY.md.
-#include <signal.h>
+// nickelramp-scale: runs controllers under an emulated load. See docs/CAPACITY.md.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
+#include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -65,7 +65,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App cli{"nickelramp-scale: real controllers among hollow workers on loopback"};
+    CLI::App cli{"nickelramp-scale: real controllers among emulated workers on loopback"};
     ScaleOptions options;
     add_options(cli, options);
     try {
--- a/emulator/scale_run.cpp
+++ b/emulator/scale_run.cpp
@@ -57,7 +57,7 @@
 }
 
 Json facts(const ScaleOptions& o) {
-    // A limit that the controllers divide among themselves; without one, ample.
+    // Limits that the controllers divide among themselves; 0 stands for practically none.
     auto or_ample = [](double limit) { return limit > 0 ? limit : 1e6; };
     Json teams = Json::array();
     for (const auto& [name, limit] : gpu_limits(o)) {
@@ -211,7 +211,7 @@
     if (since_s >= options_.warmup_s + options_.duration_s) over_ = true;
 }
 
-// Any controller names it.
+// Asks the first controller that runs: any of them knows the leader.
 void ScaleRun::find_leader() {
     std::size_t asked = 0;
     while (asked < controllers_.size() && controllers_.pid(asked) == 0) ++asked;
@@ -240,76 +240,103 @@
             {"files", s.most_files}};
 }
 
-Json ScaleRun::result() const {
-    const double measured_s =
-        std::max(1.0, static_cast<double>(ended_at_ - measured_at_) / kMillisPerSecond);
-    auto per_s = [&](std::uint64_t last, std::uint64_t first) {
-        return static_cast<double>(last - first) / measured_s;
-    };
+double ScaleRun::measured_s() const {
+    return std::max(1.0, static_cast<double>(ended_at_ - measured_at_) / kMillisPerSecond);
+}
+
+double ScaleRun::per_s(std::uint64_t Totals::*total) const {
+    return static_cast<double>(at_last_.*total - at_first_.*total) / measured_s();
+}
+
+Json ScaleRun::load_asked_for() const {
+    return {{"workers", options_.workers},
+            {"controllers", options_.controllers},
+            {"zones", options_.zones},
+            {"teams", options_.teams},
+            {"seed", options_.seed}};
+}
+
+Json ScaleRun::load_reached() const {
+    return {{"workers", most_workers_},
+            {"tasks_running", most_running_},
+            {"starts_per_s", per_s(&Totals::starts)},
+            {"starts_per_s_peak", most_starts_per_s_},
+            {"jobs_open", users_.open()}};
+}
+
+Json ScaleRun::controllers_result() const {
     Json controllers = Json::object();
     for (std::size_t i = 0; i < samples_.size(); ++i) {
-        controllers[controllers_.name(i)] = describe(samples_[i], measured_s);
-        controllers[controllers_.name(i)]["leads"] = controllers_.name(i) == leader_;
+        Json& controller = controllers[controllers_.name(i)];
+        controller = describe(samples_[i], measured_s());
+        controller["leads"] = controllers_.name(i) == leader_;
     }
-    const auto& w = workers_.counters();
-    const auto& u = users_.counters();
-    const auto& c = cloud_.counters();
-    const auto& s = state_.counters();
-    const double workers = static_cast<double>(std::max<std::size_t>(1, workers_.size()));
-    return {
-        {"measured_s", measured_s},
-        {"asked",
-         {{"workers", options_.workers},
-          {"controllers", options_.controllers},
-          {"zones", options_.zones},
-          {"teams", options_.teams},
-          {"seed", options_.seed}}},
-        {"reached",
-         {{"workers", most_workers_},
-          {"tasks_running", most_running_},
-          {"starts_per_s", per_s(at_last_.starts, at_first_.starts)},
-          {"starts_per_s_peak", most_starts_per_s_},
-          {"jobs_open", users_.open()}}},
-        {"controllers", controllers},
-        {"hollow_process", describe(own_usage_, measured_s)},
-        {"workers",
-         {{"reports_per_s", per_s(at_last_.reports, at_first_.reports)},
-          {"bytes_per_s_each", per_s(at_last_.worker_bytes, at_first_.worker_bytes) / workers},
-          {"direct_per_s", per_s(at_last_.direct, at_first_.direct)},
-          {"redirected", w.redirected},
-          {"refused", w.refused},
-          {"unanswered", w.unanswered},
-          {"leases_lost", w.leases_lost},
-          {"dropped_tokens", w.dropped_tokens},
-          {"by_controller", workers_.by_controller()},
-          {"report", delays(workers_.report_ms())}}},
-        {"state_service",
-         {{"requests_per_s", per_s(at_last_.requests, at_first_.requests)},
-          {"changes_per_s", per_s(at_last_.changes, at_first_.changes)},
-          {"changes_per_s_peak", most_changes_per_s_},
-          {"transactions_per_s", per_s(at_last_.transactions, at_first_.transactions)},
-          {"refused", s.refused},
-          {"keys", state_.keys()},
-          {"changes_by_prefix", s.changes_by_prefix},
-          {"bytes_in", s.bytes_in},
-          {"bytes_out", s.bytes_out}}},
-        {"cloud",
-         {{"requests_per_s", per_s(at_last_.calls, at_first_.calls)},
-          {"rented", c.rented},
-          {"returned", c.returned},
-          {"refused", c.refused}}},
-        {"users",
-         {{"submitted", u.submitted},
-          {"accepted", u.accepted},
-          {"retried", u.retried},
-          {"polls", u.polls},
-          {"failed_polls", u.failed_polls},
-          {"cancelled", u.cancelled},
-          {"submit", delays(users_.submit_ms())},
-          {"start_array", delays(users_.start_ms(wire::Shape::array))},
-          {"start_gang", delays(users_.start_ms(wire::Shape::gang))}}},
-        {"settings", {{"changed", u.settings_changed}, {"in_force", delays(users_.settings_ms())}}},
-        {"rules_broken", rules_.violations()}};
+    return controllers;
+}
+
+Json ScaleRun::workers_result() const {
+    const auto& counters = workers_.counters();
+    const auto workers = static_cast<double>(std::max<std::size_t>(1, workers_.size()));
+    return {{"reports_per_s", per_s(&Totals::reports)},
+            {"bytes_per_s_each", per_s(&Totals::worker_bytes) / workers},
+            {"direct_per_s", per_s(&Totals::direct)},
+            {"redirected", counters.redirected},
+            {"refused", counters.refused},
+            {"unanswered", counters.unanswered},
+            {"leases_lost", counters.leases_lost},
+            {"dropped_tokens", counters.dropped_tokens},
+            {"by_controller", workers_.by_controller()},
+            {"report", delays(workers_.report_ms())}};
+}
+
+Json ScaleRun::state_service_result() const {
+    const auto& counters = state_.counters();
+    return {{"requests_per_s", per_s(&Totals::requests)},
+            {"changes_per_s", per_s(&Totals::changes)},
+            {"changes_per_s_peak", most_changes_per_s_},
+            {"transactions_per_s", per_s(&Totals::transactions)},
+            {"refused", counters.refused},
+            {"keys", state_.keys()},
+            {"changes_by_prefix", counters.changes_by_prefix},
+            {"bytes_in", counters.bytes_in},
+            {"bytes_out", counters.bytes_out}};
+}
+
+Json ScaleRun::cloud_result() const {
+    const auto& counters = cloud_.counters();
+    return {{"requests_per_s", per_s(&Totals::calls)},
+            {"rented", counters.rented},
+            {"returned", counters.returned},
+            {"refused", counters.refused}};
+}
+
+Json ScaleRun::users_result() const {
+    const auto& counters = users_.counters();
+    return {{"submitted", counters.submitted},
+            {"accepted", counters.accepted},
+            {"retried", counters.retried},
+            {"polls", counters.polls},
+            {"failed_polls", counters.failed_polls},
+            {"cancelled", counters.cancelled},
+            {"submit", delays(users_.submit_ms())},
+            {"start_array", delays(users_.start_ms(wire::Shape::array))},
+            {"start_gang", delays(users_.start_ms(wire::Shape::gang))}};
+}
+
+Json ScaleRun::result() const {
+    const Json settings = {{"changed", users_.counters().settings_changed},
+                           {"in_force", delays(users_.settings_ms())}};
+    return {{"measured_s", measured_s()},
+            {"asked", load_asked_for()},
+            {"reached", load_reached()},
+            {"controllers", controllers_result()},
+            {"hollow_process", describe(own_usage_, measured_s())},
+            {"workers", workers_result()},
+            {"state_service", state_service_result()},
+            {"cloud", cloud_result()},
+            {"users", users_result()},
+            {"settings", settings},
+            {"rules_broken", rules_.violations()}};
 }
 
 }  // namespace nickelramp::emulator
--- a/emulator/scale_run.h
+++ b/emulator/scale_run.h
@@ -1,5 +1,5 @@
-// A scale run: real controllers, and hollow workers, users, cloud and state service around them in
-// one process; what each role costs, and whether the rules held.
+// A scale run: real controllers, with emulated workers, users, cloud and state service around them
+// in one process. It measures what each of them uses, and whether the rules of the protocol held.
 #pragma once
 #include <uv.h>
 
@@ -15,6 +15,7 @@
 
 namespace nickelramp::emulator {
 
+/// The options of nickelramp-scale. Rates and limits of 0 mean that there is none.
 struct ScaleOptions {
     std::string program = "nickelramp", directory, report;
     std::size_t controllers = 3, workers = 1'000, zones = 13, teams = 46;
@@ -29,6 +30,7 @@
     Load load;
 };
 
+/// One run: starts the controllers, lets the load pass, and samples every second.
 class ScaleRun {
   public:
     explicit ScaleRun(const ScaleOptions& options);
@@ -36,20 +38,21 @@
     ScaleRun(const ScaleRun&) = delete;
     ScaleRun& operator=(const ScaleRun&) = delete;
 
-    // Until its time is over or it is told to stop. Empty, or what kept it from starting.
-    std::string run();
+    /// Returns when its time is over or after stop(). Empty, or what kept it from starting.
+    [[nodiscard]] std::string run();
     void stop() { over_ = true; }
-    wire::Json result() const;
-    bool rules_hold() const { return rules_.violations().empty(); }
+    /// The measurements of a run that is over, as nickelramp-scale prints them.
+    [[nodiscard]] wire::Json result() const;
+    [[nodiscard]] bool rules_hold() const { return rules_.violations().empty(); }
 
   private:
     struct Sampled {
         Usage first, last;
-        double peak_part = 0;  // of a core, over one sample
+        double peak_part = 0;  // of a core, between two samples
         double most_memory_mb = 0;
         std::size_t most_files = 0;
     };
-    // Of what only grows.
+    // Counters, which only grow.
     struct Totals {
         std::uint64_t reports = 0, starts = 0, requests = 0, changes = 0, transactions = 0,
                       refused = 0, worker_bytes = 0, calls = 0, direct = 0;
@@ -62,6 +65,16 @@
     void crash_leader();
     Totals totals() const;
     wire::Json describe(const Sampled& s, double seconds) const;
+    [[nodiscard]] double measured_s() const;
+    /// The mean rate of a counter over the measured time.
+    [[nodiscard]] double per_s(std::uint64_t Totals::*total) const;
+    [[nodiscard]] wire::Json load_asked_for() const;
+    [[nodiscard]] wire::Json load_reached() const;
+    [[nodiscard]] wire::Json controllers_result() const;
+    [[nodiscard]] wire::Json workers_result() const;
+    [[nodiscard]] wire::Json state_service_result() const;
+    [[nodiscard]] wire::Json cloud_result() const;
+    [[nodiscard]] wire::Json users_result() const;
 
     const ScaleOptions options_;
     uv_loop_t* loop_;
--- a/emulator/state_service_emulator.h
+++ b/emulator/state_service_emulator.h
@@ -1,4 +1,4 @@
-// A stand-in for the state service on loopback, by the published protocol: keys, conditions, holds,
+// Emulates the state service on loopback, by the published protocol: keys, conditions, holds,
 // watches and limits, and the faults that it may have. For tests and scale runs; it keeps
 // everything in memory.
 #pragma once
