--- a/emulator/worker_emulator.cpp
+++ b/emulator/worker_emulator.cpp
@@ -18,6 +18,7 @@
 constexpr std::size_t kMostConnections = 18'000;
 constexpr double kReportSpread = 0.25;
 constexpr double kMillisPerSecond = 1'000;
+constexpr int kOk = 200, kRedirected = 421;
 }  // namespace
 
 WorkerEmulator::WorkerEmulator(uv_loop_t* loop, WorkerSettings settings, ProtocolRules& rules,
@@ -109,7 +110,7 @@
     return out;
 }
 
-// --- reports
+// --- Heartbeats.
 
 wire::Heartbeat WorkerEmulator::describe(Worker& w) {
     wire::Heartbeat heartbeat;
@@ -145,63 +146,72 @@
                           Worker* same = worker(name);
                           if (same == nullptr || same->life != life) return;
                           same->in_flight = false;
-                          on_answer(*same, reply, session, sent);
+                          on_reply(*same, reply, session, sent);
                       });
 }
 
-void WorkerEmulator::on_answer(Worker& w, const net::ClientReply& reply, std::uint64_t session,
-                               Millis sent) {
+void WorkerEmulator::on_reply(Worker& w, const net::ClientReply& reply, std::uint64_t session,
+                              Millis sent) {
     counters_.bytes_received += reply.body.size();
     if (reply.outcome != net::ClientReply::Outcome::answered) {
         ++counters_.unanswered;
-        return move_on(w);
+        return try_next_controller(w);
     }
-    if (reply.status == 421) {
-        ++counters_.redirected;
-        const auto body = wire::decode_map(reply.body);
-        const std::string boss = body ? wire::text_field(*body, "boss").value_or("") : "";
-        const auto& names = settings_.controllers;
-        const auto named = std::find(names.begin(), names.end(), boss);
-        if (named == names.end() || named == names.begin() + static_cast<long>(w.target))
-            return move_on(w);
-        w.target = static_cast<std::size_t>(named - names.begin());
-        const auto wait = static_cast<Millis>(random_() % kMoveWithin);
-        return later(w, wait, [this](Worker& same) {
-            same.client.reset();
-            report(same);
-        });
-    }
-    if (reply.status != 200) {
+    if (reply.status == kRedirected) return on_redirect(w, reply);
+    if (reply.status != kOk) {
         ++counters_.refused;
-        return move_on(w);
+        return try_next_controller(w);
     }
     ++counters_.answered;
     report_ms_.add(static_cast<double>(now() - sent));
-    const auto orders = decode_commands(reply.body);
-    if (!orders || orders->token < w.token) {
+    on_commands(w, reply, session, sent);
+    schedule_report(w);
+}
+
+void WorkerEmulator::on_redirect(Worker& w, const net::ClientReply& reply) {
+    ++counters_.redirected;
+    const auto body = wire::decode_map(reply.body);
+    const std::string to = body ? wire::text_field(*body, "boss").value_or("") : "";
+    const auto& names = settings_.controllers;
+    const auto named = std::find(names.begin(), names.end(), to);
+    if (named == names.end() || named == names.begin() + static_cast<long>(w.target))
+        return try_next_controller(w);
+    w.target = static_cast<std::size_t>(named - names.begin());
+    reconnect_after(w, static_cast<Millis>(random_() % kMoveWithin));
+}
+
+void WorkerEmulator::on_commands(Worker& w, const net::ClientReply& reply, std::uint64_t session,
+                                 Millis sent) {
+    const auto received = decode_commands(reply.body);
+    if (!received || received->token < w.token) {
         ++counters_.dropped_tokens;
-    } else if (session == w.session) {
-        if (orders->token > w.token &&
-            now() - w.seen_token_at > static_cast<Millis>(settings_.lease_s * 500)) {
-            w.seen_token_at = now();
-            w.changed = true;
-        }
-        w.token = orders->token;
-        w.lease_from = sent;
-        obey(w, orders->commands);
+        return;
     }
-    schedule_report(w);
+    if (session != w.session) return;
+    const auto half_lease = static_cast<Millis>(settings_.lease_s * kMillisPerSecond / 2);
+    if (received->token > w.token && now() - w.seen_token_at > half_lease) {
+        w.seen_token_at = now();
+        w.changed = true;
+    }
+    w.token = received->token;
+    w.lease_from = sent;
+    execute(w, received->commands);
 }
 
-void WorkerEmulator::move_on(Worker& w) {
+void WorkerEmulator::try_next_controller(Worker& w) {
     w.target = (w.target + 1) % settings_.controllers.size();
-    later(w, kNextAfter, [this](Worker& same) {
+    reconnect_after(w, kNextAfter);
+}
+
+void WorkerEmulator::reconnect_after(Worker& w, Millis wait) {
+    later(w, wait, [this](Worker& same) {
         same.client.reset();
         report(same);
     });
 }
 
-// The next in time; sooner when something changes.
+// The next heartbeat is due after the usual interval, or sooner if something
+// changes.
 void WorkerEmulator::schedule_report(Worker& w) {
     later(w, jitter(settings_.report_s), [this, was = w.reported_at](Worker& same) {
         if (same.reported_at == was) report(same);
@@ -239,7 +249,7 @@
     report_soon(w);
 }
 
-// --- commands
+// --- Commands.
 
 void WorkerEmulator::on_direct(const net::Request& q, const net::Responder& r) {
     auto known = by_ip_.find(q.local_ip);
@@ -247,26 +257,26 @@
     if (w == nullptr) return r.send({404, "", 0, "application/cbor"});
     ++counters_.direct;
     counters_.bytes_received += q.body.size();
-    const auto orders = decode_commands(q.body);
+    const auto received = decode_commands(q.body);
     int status = 200;
     if (q.path != "/status") {
-        if (!orders || !orders->session) return r.send({400, "", 0, "application/cbor"});
-        if (orders->token < w->token || *orders->session != w->session) status = 409;
+        if (!received || !received->session) return r.send({400, "", 0, "application/cbor"});
+        if (received->token < w->token || *received->session != w->session) status = 409;
         if (status == 409) ++counters_.direct_conflicts;
     }
-    if (status == 200 && orders) {
-        if (orders->token > w->token) {
-            w->token = orders->token;
+    if (status == 200 && received) {
+        if (received->token > w->token) {
+            w->token = received->token;
             report_soon(*w);
         }
-        obey(*w, orders->commands);
+        execute(*w, received->commands);
     }
     std::string body = encode_heartbeat(describe(*w));
     counters_.bytes_sent += body.size();
     r.send({status, std::move(body), 0, "application/cbor"});
 }
 
-void WorkerEmulator::obey(Worker& w, const std::vector<Command>& commands) {
+void WorkerEmulator::execute(Worker& w, const std::vector<Command>& commands) {
     for (const Command& command : commands) {
         if (command.op == Command::Op::start) start(w, command);
         if (command.op == Command::Op::stop) stop(w, command);
@@ -368,7 +378,7 @@
     report_soon(w);
 }
 
-// It is on its machine no more.
+// The task does not occupy its machine any more.
 void WorkerEmulator::leave(const TaskId& id, const Task& task) {
     const bool was_on = task.phase != TaskPhase::fetching && task.phase != TaskPhase::exited;
     JobTruth* job = rules_.find(id.first);
--- a/emulator/worker_emulator.h
+++ b/emulator/worker_emulator.h
@@ -1,6 +1,7 @@
-// Hollow workers: thousands of them in one process. Each reports, obeys and loses its lease as the
-// protocol has it; tasks are dates in a queue and use nothing. Simplified: images never fall out of
-// the cache, and a gang that is stopped saves member by member.
+// Emulated workers, thousands of them in one process. Each sends heartbeats,
+// executes commands and loses its lease as the protocol says; a task is only a
+// timer. Simplified: images are never evicted from the cache, and the tasks of
+// a stopped gang save their state independently.
 #pragma once
 #include <uv.h>
 
@@ -23,40 +24,46 @@
 
 namespace nickelramp::emulator {
 
+/// What all emulated workers have in common.
 struct WorkerSettings {
     double report_s = 8, lease_s = 45, gang_wait_s = 30, gang_peer_s = 4;
     double fetch_gb_per_s = 1;
-    int port = 0;                          // of all workers, each on an address of its own
-    std::vector<std::string> controllers;  // names
-    std::vector<std::string> addresses;    // likewise
+    int port = 0;                          ///< of all workers, each on an address of its own
+    std::vector<std::string> controllers;  ///< names
+    std::vector<std::string> addresses;    ///< of the controllers, in the same order
 };
 
+/// The workers of all machines that are up. ProtocolRules hears what truly runs
+/// on them.
 class WorkerEmulator {
   public:
     struct Counters {
         std::uint64_t reports = 0, answered = 0, redirected = 0, refused = 0, unanswered = 0;
         std::uint64_t dropped_tokens = 0, leases_lost = 0;
         std::uint64_t direct = 0, direct_conflicts = 0, starts = 0, exits = 0;
-        std::uint64_t bytes_sent = 0, bytes_received = 0;  // bodies
+        std::uint64_t bytes_sent = 0, bytes_received = 0;  ///< of message bodies
     };
     WorkerEmulator(uv_loop_t* loop, WorkerSettings settings, ProtocolRules& rules,
                    std::uint64_t seed);
 
-    // 0 or a libuv error.
-    int listen();
-    // Its address, by its number: one of 127.0.0.0/8.
-    std::string address(std::size_t number) const;
+    /// 0 or a libuv error.
+    [[nodiscard]] int listen();
+    /// Of the machine with that number: one of 127.0.0.0/8, with the port.
+    [[nodiscard]] std::string address(std::size_t number) const;
+    /// A machine is up, and its worker begins to send heartbeats.
     void boot(std::size_t number, const std::string& name, const std::string& type,
               const std::string& zone, bool spot);
-    // Nothing of it is left.
+    /// The machine is gone, with its tasks.
     void remove(const std::string& name);
 
-    const Counters& counters() const { return counters_; }
-    const Histogram& report_ms() const { return report_ms_; }
-    std::size_t size() const { return workers_.size(); }
-    std::size_t running() const { return running_; }
-    // Workers that reported to each controller last, by name.
-    std::map<std::string, std::size_t> by_controller() const;
+    [[nodiscard]] const Counters& counters() const { return counters_; }
+    /// From a heartbeat to its reply.
+    [[nodiscard]] const Histogram& report_ms() const { return report_ms_; }
+    [[nodiscard]] std::size_t size() const { return workers_.size(); }
+    /// Tasks that occupy a machine.
+    [[nodiscard]] std::size_t running() const { return running_; }
+    /// How many workers report to each controller, by its name.
+    [[nodiscard]] std::map<std::string, std::size_t> by_controller() const;
 
   private:
     using TaskId = std::pair<std::string, std::uint32_t>;
@@ -94,20 +101,23 @@
     Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
     void at(Millis when, std::function<void()> act);
     void run_due();
-    // In the same life of the same machine.
+    // Unless the machine is gone by then.
     void later(const Worker& w, Millis wait, std::function<void(Worker&)> act);
 
     void report(Worker& w);
-    void on_answer(Worker& w, const net::ClientReply& reply, std::uint64_t session, Millis sent);
+    void on_reply(Worker& w, const net::ClientReply& reply, std::uint64_t session, Millis sent);
+    void on_redirect(Worker& w, const net::ClientReply& reply);
+    void on_commands(Worker& w, const net::ClientReply& reply, std::uint64_t session, Millis sent);
+    void reconnect_after(Worker& w, Millis wait);
     void schedule_report(Worker& w);
-    void move_on(Worker& w);
+    void try_next_controller(Worker& w);
     void report_soon(Worker& w);
     void check_lease(Worker& w);
     void lose_lease(Worker& w);
     wire::Heartbeat describe(Worker& w);
 
     void on_direct(const net::Request& request, const net::Responder& responder);
-    void obey(Worker& w, const std::vector<wire::Command>& commands);
+    void execute(Worker& w, const std::vector<wire::Command>& commands);
     void start(Worker& w, const wire::Command& command);
     void stop(Worker& w, const wire::Command& command);
     void fetched(Worker& w, const TaskId& id, std::uint32_t attempt);
