--- /dev/null
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -0,0 +1,214 @@
+// How attempts are stopped and end. Every end passes the job's dependencies.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "cluster/cluster_state.h"
+
+namespace nickelramp::cluster {
+
+using jobs::JobState;
+using wire::ExitCause;
+
+namespace {
+
+// A job whose tasks end in error on several machines is put on trial: it runs one task at a time,
+// and waits between the begin of one and the next for twice as long each time.
+constexpr Millis kFirstBackoff = 10'000;
+constexpr Millis kLongestBackoff = jobs::kMaxHoldBack * 3 / 4;
+constexpr Millis kShortestBackoff = kFirstBackoff / 2;  // from the end of a task
+constexpr std::uint32_t kMostDoublings = 6;
+
+constexpr Millis kProbation = 30'000;           // of a machine on which a task ended in error
+constexpr Millis kMismatchProbation = 3'000;    // of a machine that rejected a task
+constexpr std::size_t kMachinesToBlameJob = 3;  // on so many a job has failed
+constexpr std::size_t kJobsToBlameMachine = 2;  // so many have failed on a machine
+constexpr double kSaveMarginS = 1.0;            // seconds beyond the job's own time to save
+
+bool contains(const std::vector<Index>& list, Index index) {
+    return std::find(list.begin(), list.end(), index) != list.end();
+}
+
+}  // namespace
+
+void ClusterState::attempt_gone(Attempt& attempt, Millis now) {
+    Job& job = job_of(attempt);
+    if (attempt.live()) {
+        spdlog::debug("job={} task={} attempt={} gone, state was {}", job.spec.id, attempt.task,
+                      attempt.number, name(attempt.state));
+        deallocate(attempt, job);
+        set_attempt_state(attempt, AttemptState::exited, now);
+        attempt_finished(job, attempt, now);
+    }
+    const std::string id = job.spec.id;
+    erase_attempt(attempt);
+    remove_job(id);
+}
+
+// The worker reports that it has exited. It stays listed until the worker has forgotten it.
+void ClusterState::attempt_exited(Attempt& attempt, ExitCause cause, Millis now) {
+    if (!attempt.live()) return;
+    Job& job = job_of(attempt);
+    Machine* machine = machine_of(attempt);
+    spdlog::debug("job={} task={} attempt={} exited, cause {}", job.spec.id, attempt.task,
+                  attempt.number, wire::name(cause));
+    deallocate(attempt, job);
+    attempt.cause = cause;
+    set_attempt_state(attempt, AttemptState::exited, now);
+    if (cause == ExitCause::done) {
+        if (machine != nullptr) machine->failed_jobs.clear();
+        task_completed(job, attempt, now);
+    } else if (cause == ExitCause::error && machine != nullptr) {
+        record_task_error(job, attempt, *machine, now);
+    } else if (cause == ExitCause::unknown) {
+        job.backoff_until = now + kShortestBackoff;
+    } else if ((cause == ExitCause::no_room || cause == ExitCause::busy) && machine != nullptr) {
+        // What is free there differs from what is known here; the next heartbeat settles it.
+        machine->probation_until = std::max(machine->probation_until, now + kMismatchProbation);
+    }
+    attempt_finished(job, attempt, now);
+}
+
+void ClusterState::task_completed(Job& job, const Attempt& attempt, Millis now) {
+    job.on_trial = false;
+    observer_.on_task_completed(job, attempt, now);
+    if (job.unsaved_completions_since == 0) job.unsaved_completions_since = now;
+    if (!job.is_gang()) {
+        job.mark_done(attempt.task);
+        return;
+    }
+    // The members of a gang complete together: if one is done, all are.
+    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.mark_done(task);
+}
+
+// The attempt takes no resources any more.
+void ClusterState::attempt_finished(Job& job, Attempt& attempt, Millis now) {
+    if (attempt.end_event != kNone) {
+        job.dependencies.submit(attempt.end_event);
+        job.dependencies.remove_event(attempt.start_event);
+        job.dependencies.remove_event(attempt.end_event);
+        attempt.start_event = attempt.end_event = kNone;
+    }
+    requeue_task(job, attempt);
+    if (job.is_gang()) {
+        const bool others_run = job.live_attempts > 0;
+        if (job.state == JobState::open && job.completed_tasks == 0 && !job.gang_broken &&
+            others_run)
+            break_gang(job, now);
+        if (job.live_attempts == 0) job.gang_broken = false;
+    }
+    enqueue_job(job);
+    actions_.advance_job(job, now);
+}
+
+void ClusterState::requeue_task(Job& job, const Attempt& attempt) {
+    if (job.is_gang() || job.state != JobState::open || job.is_done(attempt.task)) return;
+    job.retry_tasks.push_back({attempt.task, attempt.number});
+}
+
+void ClusterState::erase_attempt(Attempt& attempt) {
+    if (Machine* machine = machine_of(attempt)) std::erase(machine->attempts, &attempt);
+    auto& attempts = job_of(attempt).attempts;
+    const std::uint32_t index = attempt.index_in_job;
+    std::swap(attempts[index], attempts.back());
+    attempts[index]->index_in_job = index;
+    attempts.pop_back();
+}
+
+void ClusterState::request_stop(Attempt& attempt, double grace_s, Millis now) {
+    if (!attempt.live()) return;
+    if (attempt.state == AttemptState::recording || attempt.state == AttemptState::recorded) {
+        attempt_gone(attempt, now);  // it was never sent
+        return;
+    }
+    if (attempt.stop_wanted && attempt.stop_grace_s <= grace_s) return;
+    attempt.stop_wanted = true;
+    attempt.stop_grace_s = grace_s;
+    attempt.stop_sent = false;
+    if (Machine* machine = machine_of(attempt)) actions_.queue_commands(*machine);
+}
+
+void ClusterState::stop_all_attempts(Job& job, Millis now) { stop_each_attempt(job, 0, now); }
+
+void ClusterState::stop_each_attempt(Job& job, double grace_s, Millis now) {
+    // A member of a gang that was never sent is gone at once, which would break the gang and end
+    // the others within this loop; it would go on with attempts that are destroyed.
+    if (job.is_gang() && job.state == JobState::open && job.live_attempts > 0)
+        job.gang_broken = true;
+    // Attempts that were never sent leave the list at once: go through a copy.
+    std::vector<Attempt*> attempts;
+    attempts.reserve(job.attempts.size());
+    for (const auto& attempt : job.attempts) attempts.push_back(attempt.get());
+    for (Attempt* attempt : attempts) request_stop(*attempt, grace_s, now);
+}
+
+void ClusterState::checkpoint_and_stop(Attempt& attempt, Millis now) {
+    Job& job = job_of(attempt);
+    const double grace_s = job.spec.checkpoint_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
+    if (job.is_gang())
+        stop_each_attempt(job, grace_s, now);
+    else
+        request_stop(attempt, grace_s, now);
+}
+
+void ClusterState::drain_attempt(Attempt& attempt, Millis now) {
+    Job& job = job_of(attempt);
+    if (!attempt.live() || job.state != JobState::open) return;
+    if (job.is_service() || job.is_gang() || job.spec.checkpoint_s > 0)
+        checkpoint_and_stop(attempt, now);
+}
+
+// A member is gone: the others cannot complete, so the attempt ends as a whole. Those that are
+// saving in an orderly stop go on.
+void ClusterState::break_gang(Job& job, Millis now) {
+    job.gang_broken = true;
+    std::vector<Attempt*> to_stop;
+    for (const auto& attempt : job.attempts) {
+        const bool saves = attempt->stop_wanted && attempt->stop_grace_s > 0;
+        if (attempt->live() && !saves) to_stop.push_back(attempt.get());
+    }
+    for (Attempt* attempt : to_stop) request_stop(*attempt, 0, now);
+}
+
+// Which is at fault, the machine or the job? A machine on which several jobs fail is; a job that
+// fails on several machines is.
+void ClusterState::record_task_error(Job& job, const Attempt& attempt, Machine& machine,
+                                     Millis now) {
+    // A job that fails on the same machine each time that it is tried there again is at fault too:
+    // otherwise it would take the only slot from others for ever.
+    const bool tried_again =
+        job.failed_on.size() < kMachinesToBlameJob && now >= machine.probation_until;
+    if (tried_again || !contains(job.failed_on, machine.index))
+        job.failed_on.push_back(machine.index);
+    if (!contains(machine.failed_jobs, job.index)) machine.failed_jobs.push_back(job.index);
+    spdlog::info(
+        "job={} task={} failed on machine={}, machines that failed it: {}, jobs that "
+        "failed there: {}",
+        job.spec.id, attempt.task, machine.name, job.failed_on.size(), machine.failed_jobs.size());
+    if (job.failed_on.size() >= kMachinesToBlameJob) {
+        put_on_trial(job, attempt, now);
+        return;
+    }
+    machine.probation_until = now + kProbation;
+    if (machine.failed_jobs.size() >= kJobsToBlameMachine)
+        release_machine(machine, ReleaseReason::fails_tasks);
+}
+
+void ClusterState::put_on_trial(Job& job, const Attempt& attempt, Millis now) {
+    // Counted from the begin of the attempt: an image that takes long to fetch does not make the
+    // back-off longer.
+    const Millis backoff =
+        std::min(kLongestBackoff, kFirstBackoff << std::min(job.backoff_count, kMostDoublings));
+    job.backoff_until = std::max(attempt.placed_at + backoff, now + kShortestBackoff);
+    ++job.backoff_count;
+    job.on_trial = true;
+    // Its failures say nothing about the machines.
+    for (Index index : job.failed_on) {
+        Machine* machine = registry_.by_index(index);
+        if (machine == nullptr) continue;
+        std::erase(machine->failed_jobs, job.index);
+        if (machine->failed_jobs.empty()) machine->probation_until = 0;
+    }
+}
+
+}  // namespace nickelramp::cluster
--- a/src/cluster/cluster_machines.cpp
+++ b/src/cluster/cluster_machines.cpp
@@ -1,4 +1,4 @@
-// Machines: what they are, what is free on them, and how they leave the book.
+// Machines: identity, state, reachability, reservations, and how they leave the cluster state.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -7,20 +7,56 @@
 
 namespace nickelramp::cluster {
 
+using machines::Reachability;
+
+namespace {
+
+void set_membership(std::set<Index>& indices, Index index, bool member) {
+    if (member)
+        indices.insert(index);
+    else
+        indices.erase(index);
+}
+
+// Sends heartbeats, or should.
+bool counts_as_up(const Machine& machine) {
+    return machine.up_at != 0 && machine.zone != kNone && machine.state != MachineState::booting &&
+           machine.state != MachineState::leased_out && machine.state != MachineState::gone;
+}
+
+// Can its tasks not be counted on? A worker that replies reach runs on with all that it has.
+bool is_out_of_reach(Reachability reachability) {
+    return reachability != Reachability::reachable && reachability != Reachability::replies_only;
+}
+
+// For the log; machines::name() gives the words of the administration pages.
+const char* describe(Reachability reachability) {
+    switch (reachability) {
+        case Reachability::reachable:
+            return "reachable";
+        case Reachability::unresponsive:
+            return "unresponsive";
+        case Reachability::outbound_only:
+            return "outbound-only (heartbeats arrive, nothing reaches it)";
+        case Reachability::replies_only:
+            return "replies-only (replies reach it, commands do not)";
+        case Reachability::inbound_only:
+            return "inbound-only (commands reach it, no heartbeats arrive)";
+    }
+    return "?";
+}
+
+}  // namespace
+
 void ClusterState::set_machine_state(Machine& machine, MachineState state) {
     if (machine.state == state) return;
-    spdlog::debug("machine {}: {} -> {}", machine.name, machines::name(machine.state),
+    spdlog::debug("machine={} state {} -> {}", machine.name, machines::name(machine.state),
                   machines::name(state));
     machine.state.mutable_value() = state;
-    if (state == MachineState::booting || state == MachineState::joining)
-        provisioning_machines_.insert(machine.index);
-    else
-        provisioning_machines_.erase(machine.index);
-    if (state == MachineState::releasing)
-        releasing_machines_.insert(machine.index);
-    else
-        releasing_machines_.erase(machine.index);
-    update_free_capacity(machine);
+    set_membership(provisioning_machines_, machine.index,
+                   state == MachineState::booting || state == MachineState::joining);
+    set_membership(releasing_machines_, machine.index, state == MachineState::releasing);
+    update_machine_indices(machine);
     request_scheduling();
 }
 
@@ -47,77 +83,64 @@
     }
     machine.zone = zone_names_.add(zone);
     machine.spot = spot;
-    // Attempts that a record put here may have been counted before the type was known.
+    // Attempts of a checkpoint may have been counted before the type was known.
     machine.cpus_free.mutable_value() += types_[machine.type].cpus;
     machine.gpus_free.mutable_value() += types_[machine.type].gpus;
     machine.memory_free.mutable_value() += types_[machine.type].memory_gb;
     if (machine_count_by_zone_.size() <= machine.zone)
         machine_count_by_zone_.resize(machine.zone + 1);
     ++machine_count_by_zone_[machine.zone];
-    update_free_capacity(machine);
+    update_machine_indices(machine);
 }
 
 std::string ClusterState::describe_kind(const Machine& machine) const {
     if (machine.type == kNone) return "of unknown type";
-    return fmt::format("{} {} in {}", machine.spot ? "spot" : "ordinary", types_[machine.type].name,
-                       zone_names_.name(machine.zone));
+    return fmt::format("{} {} in {}", machine.spot ? "spot" : "on-demand",
+                       types_[machine.type].name, zone_names_.name(machine.zone));
 }
 
-// After any change of a machine's state or room: what is found and summed up without a look at
-// every machine.
-void ClusterState::update_free_capacity(Machine& machine) {
+// Brings the indices and sums over machines up to date after a change of the machine's state,
+// reachability or free resources, so that nobody needs to look at every machine.
+void ClusterState::update_machine_indices(Machine& machine) {
     if (machine.accepts_tasks() && machine.type != kNone &&
         machine.cpus_free > placement::kFitTolerance)
         free_capacity_.update(machine.index, {machine.type, machine.zone, machine.spot},
                               machine.cpus_free, machine.gpus_free);
     else
         free_capacity_.remove(machine.index);
-    bool up = machine.up_at != 0 && machine.zone != kNone &&
-              machine.state != MachineState::booting && machine.state != MachineState::leased_out &&
-              machine.state != MachineState::gone;
-    if (!up) set_reachability(machine, machines::Reachability::reachable);
+    const bool up = counts_as_up(machine);
+    if (!up) set_reachability(machine, Reachability::reachable);
     if (up != machine.counts_as_up)
         observer_.on_machine_counts_changed(machine.zone, up ? 1 : -1, 0);
     machine.counts_as_up.mutable_value() = up;
     if (machine.type != kNone) observer_.on_machine_changed(machine);
 }
 
-void ClusterState::set_reachability(Machine& machine, machines::Reachability reachability) {
-    using machines::Reachability;
+void ClusterState::set_reachability(Machine& machine, Reachability reachability) {
     if (reachability == machine.reachability) return;
-    if (reachability == Reachability::outbound_only)
-        spdlog::info("machine {} is heard, but nothing reaches it", machine.name);
-    if (reachability == Reachability::replies_only)
-        spdlog::info("machine {} hears answers, but no commands", machine.name);
-    if (reachability == Reachability::inbound_only)
-        spdlog::info("machine {} answers, but does not report", machine.name);
-    // One that answers to its reports reach runs on with all that it has.
-    auto out_of_reach = [](Reachability x) {
-        return x != Reachability::reachable && x != Reachability::replies_only;
-    };
-    const bool was = out_of_reach(machine.reachability), is = out_of_reach(reachability);
+    spdlog::info("machine={} reachability {} -> {}", machine.name, describe(machine.reachability),
+                 describe(reachability));
+    const bool was_out = is_out_of_reach(machine.reachability);
+    const bool is_out = is_out_of_reach(reachability);
     machine.reachability.mutable_value() = reachability;
-    if (was != is) {
-        observer_.on_machine_counts_changed(machine.zone, 0, is ? 1 : -1);
-        if (is)
-            unresponsive_machines_.insert(machine.index);
-        else
-            unresponsive_machines_.erase(machine.index);
+    if (was_out != is_out) {
+        observer_.on_machine_counts_changed(machine.zone, 0, is_out ? 1 : -1);
+        set_membership(unresponsive_machines_, machine.index, is_out);
     }
-    update_free_capacity(machine);
+    update_machine_indices(machine);
     request_scheduling();
 }
 
 void ClusterState::machine_up(Machine& machine, Millis now) {
     if (machine.up_at != 0) return;
     machine.up_at = now;
-    update_free_capacity(machine);
+    update_machine_indices(machine);
 }
 
-void ClusterState::set_unverified(Machine& machine, bool strange) {
-    if (machine.unverified == strange) return;
-    machine.unverified.mutable_value() = strange;
-    unverified_machine_count_ += strange ? 1 : -1;
+void ClusterState::set_unverified(Machine& machine, bool unverified) {
+    if (machine.unverified == unverified) return;
+    machine.unverified.mutable_value() = unverified;
+    unverified_machine_count_ += unverified ? 1 : -1;
 }
 
 void ClusterState::take_control(Machine& machine, std::uint64_t token, Millis reached) {
@@ -132,10 +155,10 @@
     machine.token_confirmation_pending = true;
 }
 
-void ClusterState::set_suspected(Machine& machine, bool shaded) {
-    if (shaded == machine.suspected) return;
-    machine.suspected.mutable_value() = shaded;
-    update_free_capacity(machine);
+void ClusterState::set_suspected(Machine& machine, bool suspected) {
+    if (suspected == machine.suspected) return;
+    machine.suspected.mutable_value() = suspected;
+    update_machine_indices(machine);
     request_scheduling();
 }
 
@@ -148,45 +171,54 @@
 
 void ClusterState::release_reservation(Machine& machine) {
     if (machine.reserved_for == kNone) return;
-    std::erase(job_slots_[machine.reserved_for]->reserved_machines, machine.index);
+    std::erase(jobs_by_index_[machine.reserved_for]->reserved_machines, machine.index);
     machine.reserved_for.mutable_value() = kNone;
     request_scheduling();
 }
 
-void ClusterState::release_machine(Machine& machine, const char* why) {
+void ClusterState::release_all_reservations(Job& job) {
+    while (!job.reserved_machines.empty())
+        release_reservation(*registry_.by_index(job.reserved_machines.back()));
+}
+
+void ClusterState::release_machine(Machine& machine, ReleaseReason reason) {
     if (machine.state == MachineState::releasing || machine.state == MachineState::gone) return;
     if (term_.is_shard_holder()) {
-        // Only the leader deals with the cloud.
-        if (std::find(unhealthy_machines_.begin(), unhealthy_machines_.end(), machine.name) ==
-            unhealthy_machines_.end()) {
-            spdlog::info("machine {} of this block {}", machine.name, why);
-            unhealthy_machines_.push_back(machine.name);
-        }
-        if (machine.state == MachineState::ready)
-            set_machine_state(machine, MachineState::draining);
+        report_unhealthy(machine, reason);
         return;
     }
-    spdlog::info("returning machine {}: it {}", machine.name, why);
+    spdlog::info("machine={} is released: it {}", machine.name, describe(reason));
     set_machine_state(machine, MachineState::releasing);
 }
 
+// Only the leader deals with the cloud: a shard holder drains the machine and reports it.
+void ClusterState::report_unhealthy(Machine& machine, ReleaseReason reason) {
+    const bool reported = std::find(unhealthy_machines_.begin(), unhealthy_machines_.end(),
+                                    machine.name) != unhealthy_machines_.end();
+    if (!reported) {
+        spdlog::info("machine={} of this shard is unhealthy: it {}", machine.name,
+                     describe(reason));
+        unhealthy_machines_.push_back(machine.name);
+    }
+    if (machine.state == MachineState::ready) set_machine_state(machine, MachineState::draining);
+}
+
 void ClusterState::drain_machine(Machine& machine, const std::string& why, Millis now) {
     if (machine.state != MachineState::ready && machine.state != MachineState::joining) return;
-    spdlog::info("machine {} {}", machine.name, why);
+    spdlog::info("machine={} is drained: it {}", machine.name, why);
     set_machine_state(machine, MachineState::draining);
-    std::vector<Attempt*> list = machine.attempts;
-    for (Attempt* attempt : list) {
-        // What ends here may take others out of the list.
-        if (std::find(machine.attempts.begin(), machine.attempts.end(), attempt) ==
-            machine.attempts.end())
-            continue;
-        drain_attempt(*attempt, now);
+    const std::vector<Attempt*> attempts = machine.attempts;
+    for (Attempt* attempt : attempts) {
+        // The end of one attempt may have destroyed others.
+        const bool exists = std::find(machine.attempts.begin(), machine.attempts.end(), attempt) !=
+                            machine.attempts.end();
+        if (exists) drain_attempt(*attempt, now);
     }
 }
 
 void ClusterState::machine_gone(Machine& machine, Millis now) {
-    spdlog::info("machine {} ({}) is gone with {} tasks, {:.0f} s after its hire", machine.name,
-                 describe_kind(machine), machine.attempts.size(),
+    spdlog::info("machine={} ({}) is gone with {} attempts, {:.0f} s after it was provisioned",
+                 machine.name, describe_kind(machine), machine.attempts.size(),
                  static_cast<double>(now - machine.provisioned_at) / 1000.0);
     set_machine_state(machine, MachineState::gone);
     release_reservation(machine);
--- a/src/cluster/service_gateway.h
+++ b/src/cluster/service_gateway.h
@@ -1,5 +1,6 @@
-// What the parts of a term ask of the world. Every call is answered later, once, with the time of
-// the answer, unless the term ends first. Tests put a simulated world behind it.
+/// @file
+/// What the parts of a term ask of other processes: the key-value store, workers and the cloud.
+/// LiveServiceGateway sends it; tests put a simulated environment behind it.
 #pragma once
 #include <functional>
 #include <optional>
@@ -14,35 +15,56 @@
 
 namespace nickelramp::cluster {
 
-enum class DeliveryStatus { delivered, refused, unknown };  // refused: nothing arrived there
+/// What became of a message to a worker.
+enum class DeliveryStatus {
+    delivered,  ///< the worker replied
+    refused,    ///< it certainly did not arrive
+    unknown,    ///< it may have arrived, or may arrive yet
+};
 
+/// A worker's reply to commands.
 struct CommandReply {
     DeliveryStatus delivery = DeliveryStatus::unknown;
-    bool executed = false;  // 200; otherwise 409
-    std::optional<wire::Heartbeat> heartbeat;
+    bool executed =
+        false;  // status 200; otherwise 409: it has a higher token or another incarnation
+    std::optional<wire::Heartbeat> heartbeat;  // the worker's state after the commands
 };
 
+/// Every request calls its callback once, later and never from within the call, with the time of
+/// the reply in milliseconds of the steady clock; not at all once the term has ended. Failures are
+/// values of the reply.
 class ServiceGateway {
   public:
+    template <typename Reply>
+    using Callback = std::function<void(Millis, const Reply&)>;
+
     virtual ~ServiceGateway() = default;
-    virtual void commit(kvstore::Transaction transaction,
-                        std::function<void(Millis, const kvstore::CommitReply&)> done) = 0;
-    virtual void read(const std::string& key,
-                      std::function<void(Millis, const kvstore::GetReply&)> done) = 0;
-    virtual void list(const std::string& prefix,
-                      std::function<void(Millis, const kvstore::ListReply&)> done) = 0;
+
+    /// Executes a transaction of the key-value store.
+    virtual void commit(kvstore::Transaction transaction, Callback<kvstore::CommitReply> done) = 0;
+    /// Reads one key.
+    virtual void read(const std::string& key, Callback<kvstore::GetReply> done) = 0;
+    /// Reads all keys with the prefix.
+    virtual void list(const std::string& prefix, Callback<kvstore::ListReply> done) = 0;
+
+    /// Sends commands to a worker under a fencing token, for one incarnation of the worker.
     virtual void send_commands(const std::string& machine, const std::string& address,
-                               std::uint64_t token, std::uint64_t session,
+                               std::uint64_t token, std::uint64_t incarnation,
                                const std::vector<wire::Command>& commands,
-                               std::function<void(Millis, const CommandReply&)> done) = 0;
-    virtual void provision_machines(
-        const std::string& request, const std::string& type, const std::string& zone, bool spot,
-        std::uint32_t count, std::function<void(Millis, const cloud::ProvisionReply&)> done) = 0;
+                               Callback<CommandReply> done) = 0;
+
+    /// Asks the cloud for `count` machines. A request that is repeated under the same name is
+    /// executed once.
+    virtual void provision_machines(const std::string& request, const std::string& type,
+                                    const std::string& zone, bool spot, std::uint32_t count,
+                                    Callback<cloud::ProvisionReply> done) = 0;
+    /// Releases machines; the callback gets true when the cloud has confirmed that they are gone.
     virtual void release_machines(const std::vector<std::string>& machines,
                                   std::function<void(Millis, bool)> done) = 0;
-    // A transaction failed because the duty has another fence, or none.
+
+    /// A transaction failed because another process has the role by now, or none.
     virtual void on_role_fence_rejected(lease::Role role) = 0;
-    // Somebody else leads.
+    /// Another process leads, or holds the shard. The term is over.
     virtual void on_deposed(const std::string& why) = 0;
 };
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,227 +1,159 @@
-// A job as the leader keeps it while it is open, and its records in the state service.
-//
-//   job/<id>          what the user was told; final states stay for good
-//   open/<id>         the description, from acceptance until no task can be anywhere
-//   run/<id>/<chunk>  64 tasks each: which are done, and where each attempt may be (the checkpoint)
+/// @file
+/// A job as the acting controller keeps it, from acceptance until no task of it can run anywhere.
+/// Keys and records of the key-value store: jobs/job_keys.h, jobs/job_records.h.
 #pragma once
+#include <cstdint>
 #include <map>
 #include <memory>
-#include <optional>
-#include <string>
 #include <vector>
 
 #include "base/names.h"
-#include "base/owned_value.h"
 #include "base/time.h"
 #include "dependencies/dependency_automata.h"
-#include "kvstore/client.h"
+#include "jobs/attempt.h"
+#include "jobs/cluster_owned.h"
+#include "jobs/job_keys.h"
+#include "jobs/job_records.h"
 #include "wire/messages.h"
 
-namespace nickelramp::cluster {
-class ClusterState;
-}
-
 namespace nickelramp::jobs {
 
-// Only the book changes these.
-template <typename T>
-using ClusterOwned = OwnedValue<T, cluster::ClusterState>;
-
-inline constexpr std::uint32_t kChunkTasks = 64;
-
-// A job that could start is held back for so long at the most by anything but machines and limits,
-// whatever is kept for other work or doubted of it (docs/design/waiting.md).
+/// A job that could start is held back for so long at the most by anything but a lack of machines
+/// and its team's limit, whatever is reserved for other work or suspected of the job
+/// (docs/design/waiting.md).
 inline constexpr Millis kMaxHoldBack = 60'000;
 
-std::string job_key(const std::string& id);
-std::string open_key(const std::string& id);
-std::string run_key(const std::string& id, std::uint32_t chunk);
-// "open/job-1" -> "job-1"; empty when the key has another form.
-std::string job_id_of_open_key(const std::string& key);
-bool parse_run_key(const std::string& key, std::string& id, std::uint32_t& chunk);
-
-enum class JobState { open, cancelled, finishing, finished };
-const char* name(JobState state);
-
-// recording: the checkpoint that names it is on its way; nothing was sent.
-// recorded:  committed; the start may go out.
-// starting:  the start was sent, no report has shown the attempt yet.
-// exited:    reported as exited; holds nothing, but the worker still knows it.
-enum class AttemptState {
-    recording,
-    recorded,
-    starting,
-    fetching,
-    waiting,
-    running,
-    saving,
-    exited
-};
-const char* name(AttemptState state);
-
-struct Attempt {
-    Index job = kNone;
-    std::uint32_t task = 0;
-    std::uint32_t number = 0;  // attempt number, from 1
-    Index machine = kNone;
-    std::uint32_t place = 0;  // in its job's list
-    ClusterOwned<AttemptState> state{AttemptState::recording};
-    std::uint64_t token = 0;        // of the last start sent, or of the term that recorded it
-    std::uint64_t incarnation = 0;  // of the machine when the start was sent
-    std::uint64_t start_reply_sequence = 0;  // report number of the direct answer; 0: none came
-    bool stop_sent = false;
-    bool stop_wanted = false;  // a stop is wanted
-    double stop_grace_s = 0;
-    wire::ExitCause cause = wire::ExitCause::none;
-    Millis placed_at = 0;
-    Millis running_since = 0;         // 0: not yet seen running
-    std::uint64_t commit_number = 0;  // the commit that carries it
-    dependencies::Event start_event = kNone, end_event = kNone;
-
-    bool live() const { return state != AttemptState::exited; }
+enum class JobState {
+    open,       ///< accepted, and not known to be over
+    cancelled,  ///< no task starts any more; some may still run
+    finishing,  ///< over; its final status is being written
+    finished,   ///< its final status is on record
 };
 
+/// The state's name in logs and on administration pages.
+[[nodiscard]] const char* name(JobState state);
+
+/// The run record of kChunkTasks tasks, as known and as written.
 struct Chunk {
-    std::uint64_t version = 0;  // stamp of its record, 0: none
-    std::uint64_t done = 0;     // bit a task, as known
-    std::uint64_t done_in_commit = 0;
-    std::uint64_t done_recorded = 0;
-    bool dirty = false;
-    bool uncertain = false;  // a write's outcome is unknown: read before writing again
+    std::uint64_t version = 0;         // of its record; 0: there is none
+    std::uint64_t done = 0;            // a bit for each task that is done
+    std::uint64_t done_in_commit = 0;  // the same in the transaction under way
+    std::uint64_t done_recorded = 0;   // the same in the record
+    bool dirty = false;                // the record lacks something
+    bool uncertain = false;  // the outcome of a write is unknown: read before the next write
 };
 
-// Task numbers that wait for their next attempt, with the number of the last one.
+/// A task that is to be started again.
 struct RetryTask {
     std::uint32_t task;
-    std::uint32_t last_attempt;
+    std::uint32_t last_attempt;  // number of its last attempt; 0: none is known
 };
 
-// relaxed: will be in time, as the queue goes
-// pressed: will miss an objective unless it goes first or more machines are hired
-enum class ScheduleSlack { on_time, at_risk };
+/// Will the job start in time?
+enum class ScheduleSlack {
+    on_time,  ///< yes, in the order of the queue
+    at_risk,  ///< it misses an objective unless it goes first or machines are provisioned
+};
 
+/// How urgent a job is; computed for every pass of the scheduler.
 struct Urgency {
     int missed_objectives = 0;
-    double waiting_work_s = 0;  // of the tasks that wait, in seconds
-    Millis start_by = 0;
+    double waiting_work_s = 0;  // of the tasks that wait, in seconds of their run time
+    Millis start_by = 0;        // the earliest objective that can still be met
 };
 
+/// The hourly cost of a slot on a machine type, relative to an on-demand slot of the cheapest type
+/// on which the job fits; infinite where it does not fit.
+struct RelativeCost {
+    double on_demand = 1, spot = 1;
+};
+
+/// A job and all that is known of it. Created and destroyed by cluster::ClusterState; the other
+/// parts of a term write the fields of their concern, on the loop thread.
 struct Job {
-    Index index = kNone;
+    // --- description, fixed at acceptance
+    Index index = kNone;  // while it is known; used again later
     wire::JobSpec spec;
-    Index team = kNone, image = kNone, job_class = kNone, zone = kNone;
-    std::vector<char> allowed_type;  // by type index
-    // A place's price by type, ordinary and spot, in ordinary places of the cheapest type that
-    // fits.
-    std::vector<std::pair<double, double>> relative_cost;
-    std::vector<std::uint32_t> places_on;  // tasks that a machine takes, by type
-    Index cheapest_type = kNone;           // where a place costs least
+    Index team = kNone, image = kNone, job_class = kNone;
+    Index zone = kNone;                 // kNone: any
+    std::vector<char> allowed_type;     // by machine type
+    std::int64_t accepted_wall_ms = 0;  // milliseconds of the wall clock
+    Millis accepted_at = 0;             // the same on this process's steady clock
+    std::uint64_t version = 0;          // of the record open/<id>
+
+    // --- cost, by the demand forecast
+    std::vector<RelativeCost> relative_cost;   // by machine type
+    std::vector<std::uint32_t> slots_by_type;  // tasks that an empty machine takes
+    Index cheapest_type = kNone;               // of the types on which it fits and may run
+    double machine_share = 0;                  // what a task takes of a machine of that type
+
+    // --- tasks and attempts
     ClusterOwned<JobState> state{JobState::open};
-    std::int64_t accepted_wall_ms = 0;
-    Millis accepted_at = 0;     // the same on this process's steady clock
-    std::uint64_t version = 0;  // stamp of open/<id>
-
     std::uint32_t next_unstarted_task = 0;  // tasks from here on were never started
-    std::vector<RetryTask> retry_tasks;     // tasks to start again
+    std::vector<RetryTask> retry_tasks;
     std::uint32_t completed_tasks = 0;
+    std::vector<std::unique_ptr<Attempt>> attempts;  // live, or still listed by a worker
+    ClusterOwned<std::uint32_t> live_attempts;
+    ClusterOwned<std::uint32_t> running_attempts;      // of the live ones: seen running
+    ClusterOwned<std::uint32_t> unconfirmed_attempts;  // of the live ones: not committed yet
+    ClusterOwned<std::uint32_t> uncommitted_attempts;  // of those: in no transaction under way
+    std::uint32_t gang_attempt = 0;                    // all members share the attempt's number
+    bool gang_broken = false;  // a member is gone: the others must end before the next attempt
+
+    // --- checkpoints
     std::map<std::uint32_t, Chunk> chunks;
-    std::vector<std::unique_ptr<Attempt>> attempts;  // live or not yet forgotten
-    ClusterOwned<std::uint32_t> live_attempts;       // attempts that may hold a place
-    ClusterOwned<std::uint32_t> running_attempts;    // of them, those that were seen to run
-    ClusterOwned<std::uint32_t>
-        unconfirmed_attempts;  // those whose checkpoint is not committed yet
-    ClusterOwned<std::uint32_t>
-        uncommitted_attempts;      // and those that no transaction under way names either
-    bool in_pending_list = false;  // in the list of those that want places
     bool commit_in_flight = false;
     std::uint64_t last_commit_number = 0;
     Millis retry_commit_at = 0;
     Millis committed_at = 0;               // the last checkpoint was sent
-    Millis unsaved_completions_since = 0;  // completions that no record shows yet
-
-    // Gangs: all members share the attempt's number.
-    std::uint32_t gang_attempt = 0;
-    bool gang_broken = false;     // the running attempt must end before the next
-    Millis fits_limit_since = 0;  // while it waits; 0: its team's limit leaves too little for it
-
-    // Trouble.
-    std::vector<Index> failed_on;  // machines on which a task ended in error
-    Millis backoff_until = 0;      // backed off
-    std::uint32_t backoff_count = 0;
-    bool on_trial = false;  // at fault, as it seems: one task at a time until one runs
-    Millis capacity_withheld_since =
-        0;  // room that fits it is kept for other work; 0: none was last time
+    Millis unsaved_completions_since = 0;  // the first that no record shows; 0: none
 
+    // --- scheduling
+    bool in_pending_list = false;  // of ClusterState::pending_jobs()
     bool within_guaranteed_quota = false;
     Urgency urgency;
     ScheduleSlack slack = ScheduleSlack::at_risk;
-    bool any_machine_type_allowed = false;  // the cloud has nothing but what is kept for other work
-    double machine_share = 0;               // of a machine, that a task takes
-    ClusterOwned<Index> delegated_shard{kNone};               // block whose holder has it
-    std::uint64_t delegated_done = 0, delegated_running = 0;  // as the holder last said
-    Millis delegation_confirmed_at = 0;                       // the holder said that it has it
-    Millis unplaced_since = 0;                                // first time no place was found
-    std::vector<Index> reserved_machines;                     // machines where room was made for it
-    Millis reservations_since = 0;                            // 0: none since it last got a place
-    Millis next_preemption_at = 0;                            // not again before
-    bool preemption_under_way = false;                        // enough was found the last time
-    bool avoids_expensive_machines = false;                   // leaves dear machines alone for now
+    Millis unplaced_since = 0;           // first pass that found no slot; 0: none since
+    Millis capacity_withheld_since = 0;  // free slots are withheld for other work; 0: none
+    Millis fits_limit_since = 0;  // of a gang that waits: within its team's limit; 0: beyond it
+    bool any_machine_type_allowed = false;  // the cloud offers only types withheld for other work
+    bool avoids_expensive_machines = false;
+    std::vector<Index> reserved_machines;  // on which tasks were preempted for it
+    Millis reservations_since = 0;         // 0: none since it last got a slot
+    Millis next_preemption_at = 0;
+    bool preemption_under_way = false;  // the last preemption frees enough
+
+    // --- failures
+    std::vector<Index> failed_on;  // machines on which a task of it ended in error
+    Millis backoff_until = 0;
+    std::uint32_t backoff_count = 0;
+    bool on_trial = false;  // the job seems at fault: one task at a time until one runs
+
+    // --- delegation to a shard holder
+    ClusterOwned<Index> delegated_shard{kNone};
+    std::uint64_t delegated_done = 0, delegated_running = 0;  // as the holder last reported
+    Millis delegation_confirmed_at = 0;                       // the holder reported the job
 
+    // --- order of events
     dependencies::DependencyAutomata dependencies;
     dependencies::Event accepted_event = kNone, cancelled_event = kNone;
 
-    // Is room that is kept for other work to be kept from it still?
-    bool may_withhold_capacity(Millis now) const {
+    [[nodiscard]] bool is_gang() const { return spec.shape == wire::Shape::gang; }
+    [[nodiscard]] bool is_service() const { return spec.shape == wire::Shape::service; }
+    /// Only then does a gang start.
+    [[nodiscard]] bool all_attempts_recorded() const { return unconfirmed_attempts == 0; }
+    /// May free slots be withheld from it for other work? Not for more than kMaxHoldBack.
+    [[nodiscard]] bool may_withhold_capacity(Millis now) const {
         return capacity_withheld_since == 0 || now - capacity_withheld_since <= kMaxHoldBack;
     }
-
-    bool is_gang() const { return spec.shape == wire::Shape::gang; }
-    bool all_attempts_recorded() const {
-        return unconfirmed_attempts == 0;
-    }  // only such gangs are started
-    bool is_service() const { return spec.shape == wire::Shape::service; }
-    double relative_cost_of(Index type, bool spot) const {
-        if (type >= relative_cost.size()) return 1;
-        return spot ? relative_cost[type].second : relative_cost[type].first;
-    }
-    bool is_done(std::uint32_t task) const;
+    /// 1 for a type that was not known when the job was added.
+    [[nodiscard]] double relative_cost_of(Index type, bool spot) const;
+    [[nodiscard]] bool is_done(std::uint32_t task) const;
     void mark_done(std::uint32_t task);
-    // Of those that want a place, the ones that it may have at once.
-    std::uint32_t placeable_tasks() const {
-        const std::uint32_t all = unplaced_tasks();
-        if (!on_trial || all == 0) return all;
-        return live_attempts > 0 ? 0 : is_gang() ? all : 1;
-    }
-    // Tasks that want a place now. A gang wants all or none.
-    std::uint32_t unplaced_tasks() const {
-        if (state != JobState::open || delegated_shard != kNone) return 0;
-        if (is_gang()) return live_attempts == 0 && completed_tasks == 0 ? spec.tasks : 0;
-        return spec.tasks - next_unstarted_task + static_cast<std::uint32_t>(retry_tasks.size());
-    }
-};
-
-// Records.
-wire::Json encode_open_record(const wire::Json& spec, std::int64_t accepted_wall_ms,
-                              bool cancelled);
-struct OpenRecord {
-    wire::JobSpec spec;
-    std::int64_t accepted_wall_ms = 0;
-    bool cancelled = false;         // and its user was told so at once, as earlier versions did
-    bool cancel_requested = false;  // its user will be told when nothing of it is left
-};
-std::optional<OpenRecord> decode_open_record(const wire::Json& value);
-
-struct RunEntry {
-    std::uint32_t task = 0;
-    std::uint32_t attempt = 0;
-    bool started = false;  // its start may have been sent; otherwise the attempt is over
-    std::string machine;
-};
-struct RunRecord {
-    std::uint64_t done = 0;
-    std::vector<RunEntry> entries;
+    /// Tasks that want a slot now. A gang wants all or none.
+    [[nodiscard]] std::uint32_t unplaced_tasks() const;
+    /// Those of them that may have one at once: a job on trial runs one task at a time.
+    [[nodiscard]] std::uint32_t placeable_tasks() const;
 };
-wire::Json encode_run_record(const RunRecord& r);
-std::optional<RunRecord> decode_run_record(const wire::Json& value);
 
 }  // namespace nickelramp::jobs
--- a/src/jobs/resource_need.h
+++ b/src/jobs/resource_need.h
@@ -1,16 +1,21 @@
-// What a task takes of a machine, and whether it is there.
+/// @file
+/// What a task needs of a machine, and whether that fits.
 #pragma once
 
 namespace nickelramp::jobs {
 
+/// Resources of one task.
 struct Need {
-    double cpus = 0, gpus = 0, memory_gb = 0;
+    double cpus = 0, gpus = 0;  // may be fractions
+    double memory_gb = 0;
 };
 
-// Sums of decimal amounts are off in the last bits.
+/// Sums of decimal amounts are off in their last bits: less than this is no difference.
 inline constexpr double kFitTolerance = 1e-6;
 
-inline bool fits_within(double cpus, double gpus, double memory_gb, const Need& need) {
+/// Does the need fit into what is free?
+[[nodiscard]] inline bool fits_within(double cpus, double gpus, double memory_gb,
+                                      const Need& need) {
     return need.cpus <= cpus + kFitTolerance && need.gpus <= gpus + kFitTolerance &&
            need.memory_gb <= memory_gb + kFitTolerance;
 }
