--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -216,7 +216,7 @@
         for (Bin& b : bins) {
             if (ahead <= 0) break;
             if (b.spot || b.type >= headroom.relative_cost.size() ||
-                headroom.relative_cost[b.type].first > placement::kExpensiveFactor) {
+                headroom.relative_cost[b.type].on_demand > placement::kExpensiveFactor) {
                 continue;
             }
             const std::uint32_t k = places_of(b.cpus, b.gpus, b.memory_gb);
@@ -355,7 +355,7 @@
         if (role == Role::scale_in) {
             // Nothing may be placed on it: the return may be executed at any time.
             Machine* machine = cluster_.add_machine(intent.name, now);
-            cluster_.release_machine(*machine, "was to go back under an earlier term");
+            cluster_.release_machine(*machine, cluster::ReleaseReason::released_earlier);
             continue;
         }
         const Index type = cluster_.type_names().find(intent.type);
@@ -411,7 +411,7 @@
         if (machine->first_listed_at == 0) machine->first_listed_at = now;
         if (instance.status == wire::InstanceStatus::failed) {
             machine->failed = true;
-            cluster_.release_machine(*machine, "failed");
+            cluster_.release_machine(*machine, cluster::ReleaseReason::failed);
         } else if (instance.status == wire::InstanceStatus::running &&
                    machine->state == MachineState::booting && machine->listed_running_at == 0) {
             machine->listed_running_at = now;
--- a/src/control/heartbeat_reconciliation.cpp
+++ b/src/control/heartbeat_reconciliation.cpp
@@ -203,7 +203,7 @@
     if (term_.is_shard_holder()) return {421, "", 0, {}};
     // Nobody's commands would be executed there any more.
     if (machines::proves_state(freshness))
-        cluster_.release_machine(machine, "shows a token that was never given out");
+        cluster_.release_machine(machine, cluster::ReleaseReason::unknown_token);
     probe(machine, now);
     return {503, "", 0, {}};
 }
--- a/src/control/machine_checks.cpp
+++ b/src/control/machine_checks.cpp
@@ -101,10 +101,10 @@
     double boot_s = machine.type == kNone ? 60 : cluster_.types()[machine.type].boot_s;
     if (now - machine.provisioned_at >
         seconds(boot_s * kHopeless + term_.settings().cloud_list_lag_s)) {
-        cluster_.release_machine(machine, "never came up");
+        cluster_.release_machine(machine, cluster::ReleaseReason::never_booted);
     } else if (machine.listed_running_at != 0 && now - machine.listed_running_at > kNeverReported &&
                failure_detector_.is_healthy(machine.zone)) {
-        cluster_.release_machine(machine, "runs but never reported");
+        cluster_.release_machine(machine, cluster::ReleaseReason::never_reported);
     }
     if (now - machine.provisioned_at > seconds(boot_s * autoscaling::kLateBootFactor) &&
         !machine.boots_late) {
@@ -115,7 +115,7 @@
     // none went as the last leader ended. The cloud's answer proves it long before its lease does.
     if (!machine.attempts.empty() &&
         now - machine.channel.reached_at() > unresponsive_timeout() + kProbing)
-        cluster_.release_machine(machine, "is known from records only");
+        cluster_.release_machine(machine, cluster::ReleaseReason::known_from_records);
 }
 
 void ControlLoop::check_idle(Machine& machine, Millis now) {
@@ -127,14 +127,14 @@
     bool over = machine.state == MachineState::draining && machine.preemption_expected_at == 0;
     if (machine.reachability == machines::Reachability::replies_only && machine.attempts.empty() &&
         now - machine.idle_since > seconds(term_.settings().lease_s)) {
-        cluster_.release_machine(machine, "hears no commands");
+        cluster_.release_machine(machine, cluster::ReleaseReason::commands_lost);
     } else if (machine.accepts_tasks() && machine.reserved_for == kNone &&
                now - machine.idle_since > autoscaler_.idle_retention(machine, now)) {
-        cluster_.release_machine(machine, "is idle");
+        cluster_.release_machine(machine, cluster::ReleaseReason::idle);
     } else if (over) {
-        cluster_.release_machine(machine, "is drained");
+        cluster_.release_machine(machine, cluster::ReleaseReason::drained);
     } else if (machine.state == MachineState::draining && machine.attempts.empty()) {
-        cluster_.release_machine(machine, "is taken back");
+        cluster_.release_machine(machine, cluster::ReleaseReason::preempted);
     }
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -323,11 +323,11 @@
                                 spdlog::error("record {} cannot be read", entry.key);
                         }
                         for (const auto& entry : run.entries) {
-                            std::string id;
-                            std::uint32_t chunk = 0;
+                            auto run_key = jobs::parse_run_key(entry.key);
                             auto r = jobs::decode_run_record(entry.value);
-                            if (r && jobs::parse_run_key(entry.key, id, chunk)) {
-                                control_loop.load_checkpoint(id, chunk, *r, entry.version, now());
+                            if (r && run_key) {
+                                control_loop.load_checkpoint(run_key->job_id, run_key->chunk, *r,
+                                                             entry.version, now());
                             } else {
                                 spdlog::error("record {} cannot be read", entry.key);
                             }
--- a/src/failure/failure_detector.cpp
+++ b/src/failure/failure_detector.cpp
@@ -62,7 +62,7 @@
     if (machine.reachability == machines::Reachability::inbound_only && !term_.is_shard_holder())
         cluster_.drain_machine(machine, "reaches no controller", now);
     else
-        cluster_.release_machine(machine, "is silent");
+        cluster_.release_machine(machine, cluster::ReleaseReason::unresponsive);
 }
 
 Millis FailureDetector::expected_recovery_by(Index zone, Millis otherwise) const {
--- a/src/forecast/demand_forecast.cpp
+++ b/src/forecast/demand_forecast.cpp
@@ -44,7 +44,7 @@
     Need need = placement::need_of(job);
     double least = std::numeric_limits<double>::infinity();
     for (Index t = 0; t < cluster_.types().size() && t < job.allowed_type.size(); ++t) {
-        job.places_on.push_back(placement::slots_on(cluster_.types()[t], need));
+        job.slots_by_type.push_back(placement::slots_on(cluster_.types()[t], need));
         double ordinary = placement::hourly_cost_per_task(cluster_.types()[t], false, need);
         job.relative_cost.push_back(
             {ordinary, placement::hourly_cost_per_task(cluster_.types()[t], true, need)});
@@ -145,7 +145,7 @@
     machine.counts_for_replicas =
         replica_headroom_.type != kNone && machine.accepts_tasks() && !machine.spot &&
         machine.type < replica_headroom_.relative_cost.size() &&
-        replica_headroom_.relative_cost[machine.type].first <= placement::kExpensiveFactor;
+        replica_headroom_.relative_cost[machine.type].on_demand <= placement::kExpensiveFactor;
     if (machine.counts_for_replicas) {
         places = placement::tasks_that_fit(machine.cpus_free, machine.gpus_free,
                                            machine.memory_free, replica_headroom_.need, 1024);
--- a/src/forecast/demand_forecast.h
+++ b/src/forecast/demand_forecast.h
@@ -44,7 +44,7 @@
     placement::Need need;            // the largest of them
     Index type = kNone;              // where the last costs least
     forecast::ArrivalRate arrivals;  // replicas
-    std::vector<std::pair<double, double>> relative_cost;
+    std::vector<jobs::RelativeCost> relative_cost;
     double free_slots = 0;  // free for them, on ordinary machines that are not dear
 };
 
--- a/src/lifecycle/checkpoint_writer.cpp
+++ b/src/lifecycle/checkpoint_writer.cpp
@@ -142,9 +142,8 @@
     } else if (reply.status == kvstore::Status::conflict) {
         if (term_.check_superseded(reply)) return;
         for (const std::string& key : reply.failed_conditions) {
-            std::string run_id;
-            std::uint32_t n = 0;
-            if (jobs::parse_run_key(key, run_id, n)) job.chunks[n].uncertain = true;
+            if (auto run_key = jobs::parse_run_key(key))
+                job.chunks[run_key->chunk].uncertain = true;
         }
         // A changed description arrives with the watch; until then the retry finds the same.
     } else if (reply.status == kvstore::Status::protocol_error) {
--- a/src/lifecycle/job_lifecycle.cpp
+++ b/src/lifecycle/job_lifecycle.cpp
@@ -59,11 +59,10 @@
 void JobLifecycle::load_checkpoints(const kvstore::ListReply& runs, std::uint64_t token,
                                     Millis now) {
     for (const kvstore::Entry& entry : runs.entries) {
-        std::string id;
-        std::uint32_t chunk = 0;
+        auto run_key = jobs::parse_run_key(entry.key);
         auto r = jobs::decode_run_record(entry.value);
-        if (r && jobs::parse_run_key(entry.key, id, chunk)) {
-            load_checkpoint(id, chunk, *r, entry.version, token, now);
+        if (r && run_key) {
+            load_checkpoint(run_key->job_id, run_key->chunk, *r, entry.version, token, now);
         }
     }
 }
--- a/src/roles/garbage_collector.cpp
+++ b/src/roles/garbage_collector.cpp
@@ -81,11 +81,9 @@
             orphan_candidates_.clear();
             open_jobs_.clear();
             for (const kvstore::Entry& entry : reply.entries) {
-                std::string id;
-                std::uint32_t chunk = 0;
                 // What is no run record stays as it is.
-                if (jobs::parse_run_key(entry.key, id, chunk))
-                    orphan_candidates_.push_back({entry.key, id, entry.version});
+                if (auto run_key = jobs::parse_run_key(entry.key))
+                    orphan_candidates_.push_back({entry.key, run_key->job_id, entry.version});
             }
             round_finished_ = !reply.more || reply.entries.empty();
             if (!reply.entries.empty()) last_key_ = reply.entries.back().key;
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -94,7 +94,7 @@
         for (Index t = 0; t < demand.size() && t < cluster_.types().size(); ++t) {
             if (t >= job->allowed_type.size() || job->allowed_type[t] == 0) continue;
             const wire::MachineType& type = cluster_.types()[t];
-            const double each = t < job->places_on.size() ? job->places_on[t] : 0;
+            const double each = t < job->slots_by_type.size() ? job->slots_by_type[t] : 0;
             if (each == 0 || rules_.reserved_for_other_work(*job, t)) continue;
             boot_s = std::max(boot_s, type.boot_s);
             places += each * (demand[t].array_capacity[0] +
--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -260,11 +260,10 @@
         }
     }
     for (const auto& [key, stored] : got.records) {
-        std::string id;
-        std::uint32_t chunk = 0;
-        if (jobs::parse_run_key(key, id, chunk)) {
-            n.control_loop->load_checkpoint(id, chunk, *jobs::decode_run_record(stored.value),
-                                            stored.version, now_);
+        if (const auto run_key = jobs::parse_run_key(key)) {
+            n.control_loop->load_checkpoint(run_key->job_id, run_key->chunk,
+                                            *jobs::decode_run_record(stored.value), stored.version,
+                                            now_);
         }
     }
     n.control_loop->start(now_);
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -232,7 +232,8 @@
 TEST(Drain, UnknownGoneAndDelegatedMachinesAreSkipped) {
     Planned p;
     p.cluster.set_machine_state(p.add_ready_machine("m-1", "plain", "a"), MachineState::leased_out);
-    p.cluster.release_machine(p.add_ready_machine("m-2", "plain", "a"), "is idle");
+    p.cluster.release_machine(p.add_ready_machine("m-2", "plain", "a"),
+                              cluster::ReleaseReason::idle);
     Machine& gone = p.add_ready_machine("m-3", "plain", "a");
     std::string error;
     auto r = drain::parse_request({{"id", "d"}, {"machines", {"m-0", "m-1", "m-2", "m-3"}}}, error);
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -62,11 +62,9 @@
     for (const char* key :
          {"run/job-1/0", "run/job-000412/1562", "run/job-1/", "run/job-1/x", "run/job-1/0x",
           "run/job-1", "run//0", "run/job-1/-1", "run/job-1/4294967296", "open/job-1/0"}) {
-        std::string id;
-        std::uint32_t chunk = 0;
-        const bool good = jobs::parse_run_key(key, id, chunk);
-        run +=
-            std::string(key) + " -> " + (good ? id + " " + std::to_string(chunk) : "none") + "\n";
+        const auto read = jobs::parse_run_key(key);
+        run += std::string(key) + " -> " +
+               (read ? read->job_id + " " + std::to_string(read->chunk) : "none") + "\n";
     }
     for (const char* key : {"block/0", "block/4294967295", "block/4294967296", "block/", "block/x",
                             "block/1x", "blocks/1"}) {
