--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,4 +1,5 @@
-// What keeps the book's work small, against the slow way of doing the same.
+// The indices of the cluster state, compared with the slow way of doing the same, and simulations
+// of faults that its users once handled wrongly.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -19,28 +20,28 @@
 
 TEST(ClusterState, DeadlineQueuePopsExactlyWhatIsDue) {
     EXPECT_TRUE(rc::check([] {
-        DeadlineQueue agenda;
+        DeadlineQueue queue;
         std::map<Index, Millis> model;
         Millis now = 0;
-        // Which of few things, and in how long; less than nothing: forget it.
+        // Which of a few indices, and in how many milliseconds; a negative number cancels.
         const auto steps = *rc::gen::container<std::vector<std::pair<Index, Millis>>>(
             rc::gen::pair(rc::gen::inRange<Index>(0, 12), rc::gen::inRange<Millis>(-10, 40)));
-        for (auto [i, in] : steps) {
+        for (const auto& [index, delay] : steps) {
             ++now;
-            if (in < 0) {
-                agenda.cancel(i);
-                model.erase(i);
+            if (delay < 0) {
+                queue.cancel(index);
+                model.erase(index);
             } else {
-                agenda.schedule(i, now + in);
-                auto it = model.try_emplace(i, now + in).first;
-                it->second = std::min(it->second, now + in);
+                queue.schedule(index, now + delay);
+                auto it = model.try_emplace(index, now + delay).first;
+                it->second = std::min(it->second, now + delay);
             }
             std::set<Index> due, expected;
-            for (Index k = agenda.pop_due(now); k != kNone; k = agenda.pop_due(now)) due.insert(k);
-            for (const auto& [k, at] : model) {
-                if (at <= now) expected.insert(k);
+            for (Index i = queue.pop_due(now); i != kNone; i = queue.pop_due(now)) due.insert(i);
+            for (const auto& [scheduled, at] : model) {
+                if (at <= now) expected.insert(scheduled);
             }
-            for (Index k : expected) model.erase(k);
+            for (Index i : expected) model.erase(i);
             RC_ASSERT(due == expected);
         }
     }));
@@ -52,31 +53,32 @@
         double cpus = 0, gpus = 0;
     };
     EXPECT_TRUE(rc::check([] {
-        placement::FreeCapacityIndex openings;
+        placement::FreeCapacityIndex free_capacity;
         std::map<Index, Machine> model;
         auto halves = [](int most) { return *rc::gen::inRange(0, most + 1) * 0.5; };
         const int steps = *rc::gen::inRange(1, 60);
         for (int step = 0; step < steps; ++step) {
-            const auto i = *rc::gen::inRange<Index>(0, 20);
+            const auto index = *rc::gen::inRange<Index>(0, 20);
             if (*rc::gen::inRange(0, 4) == 0) {
-                openings.remove(i);
-                model.erase(i);
+                free_capacity.remove(index);
+                model.erase(index);
             } else {
                 Machine machine{{*rc::gen::inRange<Index>(0, 2), *rc::gen::inRange<Index>(0, 2),
                                  *rc::gen::arbitrary<bool>()},
                                 halves(96),
                                 halves(16)};
-                openings.update(i, machine.kind, machine.cpus, machine.gpus);
-                model[i] = machine;
+                free_capacity.update(index, machine.kind, machine.cpus, machine.gpus);
+                model[index] = machine;
             }
             const placement::Need need{halves(48), std::floor(halves(16)), 0};
             std::set<Index> found, expected;
-            openings.for_each_candidate(
+            free_capacity.for_each_candidate(
                 need, [](const auto& kind) { return kind.zone == 0; },
-                [&](Index m) { return found.insert(m).second; });
-            for (const auto& [k, m] : model) {
-                if (m.kind.zone == 0 && placement::fits_within(m.cpus, m.gpus, 0, need)) {
-                    expected.insert(k);
+                [&](Index machine) { return found.insert(machine).second; });
+            for (const auto& [candidate, machine] : model) {
+                if (machine.kind.zone == 0 &&
+                    placement::fits_within(machine.cpus, machine.gpus, 0, need)) {
+                    expected.insert(candidate);
                 }
             }
             RC_ASSERT(found == expected);
@@ -84,20 +86,21 @@
     }));
 }
 
-// The protocol's words: a job is within its team's guarantee if it fits into it together with the
-// team's earlier unfinished jobs.
+// The definition of the protocol: a job is within its team's guaranteed quota if it fits into it
+// together with the team's earlier unfinished jobs.
 TEST(ClusterState, GuaranteedQuotaMatchesARecountOfEarlierJobs) {
     EXPECT_TRUE(rc::check([] {
         const wire::Team rule{"red", *rc::gen::element(0.0, 10.0, 40.0), 0,
                               *rc::gen::element(0.0, 25.0), 0};
-        cluster::GuaranteedQuota guarantee(rule);
-        std::vector<std::unique_ptr<jobs::Job>> all;
+        cluster::GuaranteedQuota quota(rule);
+        std::vector<std::unique_ptr<jobs::Job>> unfinished;
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-            if (!all.empty() && *rc::gen::inRange(0, 3) == 0) {
-                auto it = all.begin() + *rc::gen::inRange<std::ptrdiff_t>(0, std::ssize(all));
-                guarantee.remove(**it);
-                all.erase(it);
+            if (!unfinished.empty() && *rc::gen::inRange(0, 3) == 0) {
+                auto it = unfinished.begin() +
+                          *rc::gen::inRange<std::ptrdiff_t>(0, std::ssize(unfinished));
+                quota.remove(**it);
+                unfinished.erase(it);
             } else {
                 auto job = std::make_unique<jobs::Job>();
                 job->spec.id = "job-" + std::to_string(step);
@@ -105,14 +108,14 @@
                 job->spec.gpus = *rc::gen::inRange(0, 4);
                 job->spec.tasks = *rc::gen::inRange(1u, 6u);
                 job->accepted_at = *rc::gen::inRange<Millis>(0, 60);
-                guarantee.add(*job);
-                all.push_back(std::move(job));
+                quota.add(*job);
+                unfinished.push_back(std::move(job));
             }
-            std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
+            std::sort(unfinished.begin(), unfinished.end(), [](const auto& a, const auto& b) {
                 return std::tie(a->accepted_at, a->spec.id) < std::tie(b->accepted_at, b->spec.id);
             });
             double cpus = 0, gpus = 0;
-            for (const auto& job : all) {
+            for (const auto& job : unfinished) {
                 cpus += job->spec.cpus * job->spec.tasks;
                 gpus += job->spec.gpus * job->spec.tasks;
                 const bool within =
@@ -125,8 +128,8 @@
     }));
 }
 
-// The one that is cut off is the leader, not its machines: it returned the first silent ones before
-// it had noticed that most were silent, and their replicas were lost.
+// The leader is cut off, not its machines: it once released the first unresponsive ones before it
+// had noticed that most were unresponsive, and their replicas were lost.
 TEST(ClusterState, AnIsolatedLeaderReleasesNoMachine) {
     test::ClusterSimulation simulation(300, {});
     for (int n = 0; n < 6; ++n) {
@@ -134,16 +137,16 @@
     }
     simulation.run_until(60'000);
     ASSERT_GE(simulation.machines(), 3u);
-    std::size_t before = simulation.released_machines();
-    test::Faults cut;
-    cut.lost_heartbeats = cut.refused_commands = 1;
-    simulation.set_faults(cut);
+    const std::size_t released_before = simulation.released_machines();
+    test::Faults isolated;
+    isolated.lost_heartbeats = isolated.refused_commands = 1;
+    simulation.set_faults(isolated);
     simulation.run_until(simulation.now() + 15'000);
-    EXPECT_EQ(simulation.released_machines(), before);
+    EXPECT_EQ(simulation.released_machines(), released_before);
 }
 
-// A transaction that is put off because one of its records must be read again first must not take
-// the other records for written: their tasks were never started.
+// A transaction is deferred when one of its records must be read again first. Its other records
+// must not be taken for written: their tasks were once never started.
 TEST(ClusterState, RecordsOfADeferredTransactionAreWrittenLater) {
     test::Faults faults;
     faults.unknown_commits = 0.35;
--- a/tests/control_fixture.h
+++ b/tests/control_fixture.h
@@ -1,10 +1,10 @@
-// The parts of a term, each to be asked at its own interface: what they ask of the world is kept
-// until a test answers it, and what they say upwards reaches those that it concerns.
+// The parts of a term, each of which a test can call at its own interface. What they ask of the
+// key-value store, of workers and of the cloud is recorded until the test replies to it; what they
+// notify reaches the parts that it concerns.
 #pragma once
 #include <deque>
 #include <functional>
 #include <string>
-#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -20,49 +20,64 @@
 
 namespace nickelramp::test {
 
-// Everything that was asked, oldest first.
+// Records every request, oldest first; the test replies with answer().
 struct RecordingGateway : cluster::ServiceGateway {
     template <typename Reply>
     using Done = std::function<void(Millis, const Reply&)>;
-    struct Direct {
+    struct CommitCall {
+        kvstore::Transaction transaction;
+        Done<kvstore::CommitReply> done;
+    };
+    struct ReadCall {
+        std::string key;
+        Done<kvstore::GetReply> done;
+    };
+    struct ListCall {
+        std::string prefix;
+        Done<kvstore::ListReply> done;
+    };
+    struct CommandMessage {
         std::string machine;
-        std::uint64_t token, session;
+        std::uint64_t token, incarnation;
         std::vector<wire::Command> commands;
         Done<cluster::CommandReply> done;
     };
-    struct Hire {
+    struct ProvisionCall {
         std::string request, type, zone;
         bool spot;
         std::uint32_t count;
         Done<cloud::ProvisionReply> done;
     };
-    std::deque<std::pair<kvstore::Transaction, Done<kvstore::CommitReply>>> commits;
-    std::deque<std::pair<std::string, Done<kvstore::GetReply>>> reads;
-    std::deque<std::pair<std::string, Done<kvstore::ListReply>>> lists;
-    std::deque<Direct> command_messages;
-    std::deque<Hire> provision_calls;
-    std::deque<std::pair<std::vector<std::string>, std::function<void(Millis, bool)>>>
-        release_calls;
-    std::vector<lease::Role> refutations;
-    std::string ended;
+    struct ReleaseCall {
+        std::vector<std::string> machines;
+        std::function<void(Millis, bool)> done;
+    };
+    std::deque<CommitCall> commits;
+    std::deque<ReadCall> reads;
+    std::deque<ListCall> lists;
+    std::deque<CommandMessage> command_messages;
+    std::deque<ProvisionCall> provision_calls;
+    std::deque<ReleaseCall> release_calls;
+    std::vector<lease::Role> rejected_roles;  // whose fences made a transaction fail
+    std::string ended;                        // why the term ended; empty: it has not
 
     void commit(kvstore::Transaction transaction, Done<kvstore::CommitReply> done) override {
         test_trace().add(0, "commit", traced(transaction));
-        commits.emplace_back(std::move(transaction), std::move(done));
+        commits.push_back({std::move(transaction), std::move(done)});
     }
     void read(const std::string& key, Done<kvstore::GetReply> done) override {
         test_trace().add(0, "get", key);
-        reads.emplace_back(key, std::move(done));
+        reads.push_back({key, std::move(done)});
     }
     void list(const std::string& prefix, Done<kvstore::ListReply> done) override {
         test_trace().add(0, "list", prefix);
-        lists.emplace_back(prefix, std::move(done));
+        lists.push_back({prefix, std::move(done)});
     }
     void send_commands(const std::string& machine, const std::string& address, std::uint64_t token,
-                       std::uint64_t session, const std::vector<wire::Command>& commands,
+                       std::uint64_t incarnation, const std::vector<wire::Command>& commands,
                        Done<cluster::CommandReply> done) override {
-        test_trace().add(0, "direct", machine, address, token, session, traced(commands));
-        command_messages.push_back({machine, token, session, commands, std::move(done)});
+        test_trace().add(0, "direct", machine, address, token, incarnation, traced(commands));
+        command_messages.push_back({machine, token, incarnation, commands, std::move(done)});
     }
     void provision_machines(const std::string& request, const std::string& type,
                             const std::string& zone, bool spot, std::uint32_t count,
@@ -73,43 +88,47 @@
     void release_machines(const std::vector<std::string>& names,
                           std::function<void(Millis, bool)> done) override {
         test_trace().add(0, "return", names);
-        release_calls.emplace_back(names, std::move(done));
+        release_calls.push_back({names, std::move(done)});
     }
     void on_role_fence_rejected(lease::Role role) override {
         test_trace().add(0, "refuted", static_cast<int>(role));
-        refutations.push_back(role);
+        rejected_roles.push_back(role);
     }
     void on_deposed(const std::string& why) override {
         test_trace().add(0, "deposed");
         ended = why;
     }
 
-    // Answers the oldest of a kind and forgets it.
-    template <typename Asked, typename Reply>
-    static void answer(std::deque<Asked>& asked, Millis now, const Reply& reply) {
-        ASSERT_FALSE(asked.empty()) << "nothing was asked";
-        const Asked front = std::move(asked.front());
-        asked.pop_front();
-        if constexpr (requires { front.done; })
-            front.done(now, reply);
-        else
-            front.second(now, reply);
+    // Removes the oldest request of a kind and replies to it.
+    template <typename Call, typename Reply>
+    static void answer(std::deque<Call>& calls, Millis now, const Reply& reply) {
+        ASSERT_FALSE(calls.empty()) << "there is no such request";
+        const Call oldest = std::move(calls.front());
+        calls.pop_front();
+        oldest.done(now, reply);
     }
 };
 
+// Machines of a zone, as the observer was told.
+struct MachineCounts {
+    int up = 0, unresponsive = 0;
+    bool operator==(const MachineCounts&) const = default;
+};
+
+// All parts of a leader's term 7, put together as the control loop does it.
 struct ControlFixture : cluster::ClusterObserver,
                         cluster::ControlActions,
                         sharding::ShardLeaseWriter::Listener,
                         control::CommandSender::Listener,
                         autoscaling::IntentLog::Listener {
-    explicit ControlFixture(wire::Settings s = simulation_settings(),
-                            std::vector<wire::MachineType> t = {})
-        : settings(std::move(s)) {
-        if (t.empty()) {
-            t = {{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}},
-                 {"plain", 8, 0, 32, 50, 1, 1, 0.4, 10, {"a", "b"}}};
+    explicit ControlFixture(wire::Settings initial_settings = simulation_settings(),
+                            std::vector<wire::MachineType> types = {})
+        : settings(std::move(initial_settings)) {
+        if (types.empty()) {
+            types = {{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}},
+                     {"plain", 8, 0, 32, 50, 1, 1, 0.4, 10, {"a", "b"}}};
         }
-        cluster.set_machine_types(t);
+        cluster.set_machine_types(types);
         for (lease::Role role : lease::kAllRoles)
             term.set_role_fence(role, 60 + static_cast<unsigned>(role));
     }
@@ -136,13 +155,13 @@
                                        forecast,   placement_rules, provisioning,
                                        intent_log, failure_detector};
     control::CommandSender command_sender{term, cluster, *this, failure_detector, *this};
-    std::vector<std::pair<int, int>> counted{4};  // by zone: up, silent
+    std::vector<MachineCounts> machine_counts{4};  // by zone
     std::size_t heartbeats = 0;
 
     void on_job_added(jobs::Job& job) override { forecast.on_job_added(job); }
-    void on_machine_counts_changed(Index zone, int up, int silent) override {
-        counted[zone].first += up;
-        counted[zone].second += silent;
+    void on_machine_counts_changed(Index zone, int up, int unresponsive) override {
+        machine_counts[zone].up += up;
+        machine_counts[zone].unresponsive += unresponsive;
     }
     void on_machine_changed(machines::Machine& machine) override {
         forecast.on_machine_changed(machine);
@@ -161,14 +180,14 @@
     void send_queued_commands(Millis now) override { command_sender.send_queued(now); }
     void schedule_if_needed(Millis) override {}
     void on_machine_granted(machines::Machine&, Millis) override {}
-    void on_shard_recorded(std::uint32_t block, Millis now) override {
-        shard_allocator.on_shard_recorded(block, now);
+    void on_shard_recorded(std::uint32_t shard, Millis now) override {
+        shard_allocator.on_shard_recorded(shard, now);
     }
     void on_intents_recorded(lease::Role role, const std::vector<std::string>& names,
                              Millis now) override {
         autoscaler.on_intents_recorded(role, names, now);
     }
-    // What is to be asked of the cloud gets on record.
+    // Writes the intents, and replies to all transactions that they were executed.
     void record_intents(Millis now) {
         intent_log.write(now);
         while (!gateway.commits.empty()) {
@@ -183,7 +202,7 @@
         ++heartbeats;
     }
 
-    // A machine that may be given tasks.
+    // A machine that accepts tasks, under the token of this term.
     machines::Machine& add_ready_machine(const std::string& name, const std::string& type,
                                          const std::string& zone, bool spot = false,
                                          Millis now = 0) {
@@ -200,6 +219,7 @@
         cluster.set_machine_state(*machine, machines::MachineState::ready);
         return *machine;
     }
+    // A job that was accepted now and waits for slots.
     jobs::Job& add_job(const wire::Json& spec, Millis now = 0, std::uint64_t version = 1) {
         std::string error;
         auto parsed = wire::parse_job(spec, error);
--- /dev/null
+++ b/tests/control_sharding_test.cpp
@@ -0,0 +1,149 @@
+// Shard leases: their records, and how shards are reclaimed.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <string>
+
+#include "tests/control_fixture.h"
+
+namespace {
+
+using namespace nickelramp;
+using jobs::Job;
+using kvstore::Status;
+using machines::Machine;
+using test::ControlFixture;
+using test::RecordingGateway;
+
+// A transaction was executed at this revision.
+kvstore::CommitReply committed(std::uint64_t revision) {
+    kvstore::CommitReply reply;
+    reply.status = Status::ok;
+    reply.revision = revision;
+    return reply;
+}
+
+peers::Status status_of_holder(std::uint64_t incarnation) {
+    peers::Status status;
+    status.from = "holder-0";
+    status.incarnation = incarnation;
+    status.clock_ms = 900;
+    return status;
+}
+
+// Two machines for the holder, and none kept for anything else.
+admin::Options options_with_delegation() {
+    admin::Options options;
+    options.delegated_machines = 2;
+    options.idle_retention_margin = options.replica_margin = 0;
+    return options;
+}
+
+// Machines that the leader has, of four slots of two cpus each, with their shard record.
+void add_recorded_machines(ControlFixture& fixture, int count) {
+    for (int n = 0; n < count; ++n) {
+        const std::string name = "m-" + std::to_string(n);
+        fixture.add_ready_machine(name, "plain", "a");
+        fixture.shard_lease_writer.table().add_machine({name, name + ":1", "plain", "a", false});
+    }
+    fixture.shard_lease_writer.write(500);
+    RecordingGateway::answer(fixture.gateway.commits, 510, committed(11));
+}
+
+// A machine counts as granted only when the shard record that names it is written; a record whose
+// write has an unknown outcome is read first.
+TEST(ControlParts, ShardLeasesAreRecordedBeforeMachinesAreUsed) {
+    ControlFixture fixture;
+    Machine& machine = fixture.add_ready_machine("m-1", "plain", "a");
+    machine.shard_recorded = false;
+    fixture.shard_lease_writer.table().add_machine({"m-1", "m-1:1", "plain", "a", false});
+    fixture.shard_lease_writer.write(1000);
+    ASSERT_EQ(fixture.gateway.commits.size(), 1u);
+    EXPECT_TRUE(fixture.shard_lease_writer.write_in_flight());
+    EXPECT_FALSE(machine.shard_recorded);
+    RecordingGateway::answer(fixture.gateway.commits, 1100, kvstore::CommitReply{});
+    EXPECT_FALSE(machine.shard_recorded);
+    fixture.shard_lease_writer.write(1200);
+    EXPECT_TRUE(fixture.gateway.reads.empty()) << "not at once";
+    fixture.shard_lease_writer.write(2000);
+    EXPECT_TRUE(fixture.gateway.commits.empty());
+    kvstore::GetReply missing;
+    missing.status = Status::missing;
+    RecordingGateway::answer(fixture.gateway.reads, 2100, missing);
+    fixture.shard_lease_writer.write(2500);
+    RecordingGateway::answer(fixture.gateway.commits, 2600, committed(9));
+    EXPECT_TRUE(machine.shard_recorded);
+}
+
+// While nobody is known to have the role of reclaiming shards, a reclaimed shard is not recorded: a
+// condition on fence 0 once meant that nobody may have the role, and held.
+TEST(ControlParts, ShardsAreReclaimedUnderTheirRoleOnly) {
+    ControlFixture fixture;
+    auto& table = fixture.shard_lease_writer.table();
+    for (const char* name : {"m-1", "m-2"}) table.add_machine({name, "x:1", "g4", "a", false});
+    const std::uint32_t shard = table.lease_out({"m-1"}, "holder-0");
+    fixture.shard_lease_writer.write(1000);
+    fixture.record_intents(1000);  // answers all transactions
+    table.reclaim(shard);
+    fixture.term.set_role_fence(lease::Role::shard_reclaim, 0);
+    fixture.shard_lease_writer.write(2000);
+    EXPECT_TRUE(fixture.gateway.commits.empty());
+    fixture.term.set_role_fence(lease::Role::shard_reclaim, 88);
+    fixture.shard_lease_writer.write(3000);
+    ASSERT_EQ(fixture.gateway.commits.size(), 1u);
+    const auto& conditions = fixture.gateway.commits.front().transaction.conditions;
+    EXPECT_TRUE(std::any_of(conditions.begin(), conditions.end(), [](const auto& condition) {
+        return condition.key == "duty/reclaiming" && condition.version == 88;
+    }));
+}
+
+// A shard is reclaimed in this order: its lease expires, its record changes, the records of its
+// jobs are read, and only then its machines are used.
+TEST(ControlParts, AShardIsReclaimedRecordFirstThenJobsThenMachines) {
+    ControlFixture fixture;
+    fixture.term.set_options(options_with_delegation());
+    add_recorded_machines(fixture, 4);
+    fixture.shard_allocator.on_peer_status(status_of_holder(3), 1000);
+    fixture.shard_allocator.allocate_shards(1000);
+    ASSERT_EQ(fixture.shard_allocator.leases().size(), 1u);
+    const auto& [shard, lease] = *fixture.shard_allocator.leases().begin();
+    EXPECT_TRUE(fixture.shard_allocator.renewals(900, 1000).empty()) << "not on record yet";
+    EXPECT_EQ(fixture.shard_allocator.holder_of(lease.capacity[0].machine), "");
+    RecordingGateway::answer(fixture.gateway.commits, 1010, committed(11));
+    ASSERT_EQ(fixture.shard_allocator.renewals(900, 1050).size(), 1u);
+    EXPECT_EQ(fixture.shard_allocator.holder_of(lease.capacity[0].machine), "holder-0");
+    Job& too_large = fixture.add_job(test::job("job-1", "sweep", 9, 0));  // there are eight slots
+    EXPECT_FALSE(fixture.shard_allocator.delegate_job(too_large, 1100));
+    Job& job = fixture.add_job(test::job("job-2", "sweep", 8, 0));
+    EXPECT_TRUE(fixture.shard_allocator.delegate_job(job, 1100));
+    Job& late = fixture.add_job(test::job("job-3", "sweep", 1, 0));
+    EXPECT_FALSE(fixture.shard_allocator.delegate_job(late, 1100)) << "its slots are taken";
+    EXPECT_EQ(fixture.cluster.team_usage(job.team).cpus, 16);
+    // The holder has ended; another process has its name.
+    fixture.shard_allocator.on_peer_status(status_of_holder(4), 1200);
+    fixture.shard_allocator.check_leases(1300);
+    EXPECT_EQ(lease.state, sharding::ShardLeaseState::expiring);
+    EXPECT_TRUE(fixture.gateway.commits.empty()) << "its lease may last";
+    fixture.shard_allocator.check_leases(1050 + with_clock_drift(4'000) + 1);
+    EXPECT_EQ(lease.state, sharding::ShardLeaseState::reclaiming);
+    fixture.shard_lease_writer.write(7000);
+    EXPECT_TRUE(fixture.gateway.lists.empty());
+    RecordingGateway::answer(fixture.gateway.commits, 7010, committed(12));
+    EXPECT_EQ(lease.state, sharding::ShardLeaseState::recovering);
+    Machine* machine = fixture.cluster.machine_by_index(lease.capacity[0].machine);
+    EXPECT_TRUE(machine->recovering_jobs);
+    ASSERT_EQ(fixture.gateway.lists.size(), 1u);
+    kvstore::ListReply runs;
+    runs.status = Status::ok;
+    runs.entries = {
+        {"run/job-2/0", jobs::encode_run_record({1, {{1, 1, true, machine->name}}}), 13, false}};
+    RecordingGateway::answer(fixture.gateway.lists, 7100, runs);
+    EXPECT_FALSE(machine->recovering_jobs);
+    EXPECT_TRUE(fixture.shard_allocator.leases().empty());
+    EXPECT_EQ(job.completed_tasks, 1u);
+    EXPECT_EQ(job.live_attempts, 1u) << "it may be there";
+    EXPECT_EQ(job.unplaced_tasks(), 6u);
+    EXPECT_EQ(fixture.cluster.team_usage(job.team).cpus, 2);
+}
+
+}  // namespace
--- a/tests/golden_admin_test.cpp
+++ b/tests/golden_admin_test.cpp
@@ -245,7 +245,7 @@
     for (const auto& d : leader.post.command_messages)
         direct += d.machine + " " +
                   test::golden::shown_bytes(
-                      wire::encode_direct_commands(d.token, d.session, d.commands)) +
+                      wire::encode_direct_commands(d.token, d.incarnation, d.commands)) +
                   "\n";
     text("direct commands", direct);
 }
--- a/tests/golden_transactions_test.cpp
+++ b/tests/golden_transactions_test.cpp
@@ -29,7 +29,7 @@
     void take(const std::string& entry, ControlFixture& fixture, Millis now,
               std::uint64_t revision) {
         ASSERT_FALSE(fixture.gateway.commits.empty()) << entry;
-        transaction(entry, fixture.gateway.commits.front().first);
+        transaction(entry, fixture.gateway.commits.front().transaction);
         RecordingGateway::answer(fixture.gateway.commits, now, committed(revision));
     }
 };
@@ -188,14 +188,14 @@
     control::ShardHolder shard_holder(settings, election::kTermKey, record, 3);
     shard_holder.on_grant(grants[0].second, fixture.cluster.types(), 0, 1000);
     ASSERT_EQ(record.reads.size(), 1u);
-    text("read by the holder", record.reads.front().first);
+    text("read by the holder", record.reads.front().key);
     kvstore::GetReply open;
     open.status = kvstore::Status::ok;
     open.entry = {"open/job-2", jobs::encode_open_record(job("job-2", "sweep", 8, 0), 0, false), 32,
                   false};
     RecordingGateway::answer(record.reads, 1010, open);
     ASSERT_EQ(record.lists.size(), 1u);
-    text("listed by the holder", record.lists.front().first);
+    text("listed by the holder", record.lists.front().prefix);
     kvstore::ListReply none;
     none.status = kvstore::Status::ok;
     RecordingGateway::answer(record.lists, 1020, none);
