--- a/src/control/heartbeat_reconciler.cpp
+++ b/src/control/heartbeat_reconciler.cpp
@@ -117,7 +117,7 @@
                                                           EvidenceFreshness freshness, Millis now) {
     if (term_.is_shard_holder()) return HeartbeatReply::misdirected();
     if (machines::proves_state(freshness))
-        cluster_.release_machine(machine, "shows a token that was never issued");
+        cluster_.release_machine(machine, cluster::ReleaseReason::unknown_token);
     command_sender_.probe(machine, now);
     return HeartbeatReply::unavailable();
 }
--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -2,6 +2,7 @@
 
 namespace nickelramp::control {
 
+using cluster::ReleaseReason;
 using machines::Machine;
 using machines::MachineState;
 using machines::Reachability;
@@ -122,11 +123,11 @@
         machine.type == kNone ? kUnknownTypeBootS : cluster_.types()[machine.type].boot_s;
     const Millis booting_for = now - machine.provisioned_at;
     if (booting_for > seconds(boot_s * kHopelessBootFactor + term_.settings().cloud_list_lag_s)) {
-        cluster_.release_machine(machine, "never came up");
+        cluster_.release_machine(machine, ReleaseReason::never_booted);
     } else if (machine.listed_running_at != 0 &&
                now - machine.listed_running_at > kFirstHeartbeatTimeout &&
                failure_detector_.is_healthy(machine.zone)) {
-        cluster_.release_machine(machine, "runs but never sent a heartbeat");
+        cluster_.release_machine(machine, ReleaseReason::never_reported);
     }
     if (booting_for > seconds(boot_s * autoscaling::kLateBootFactor) && !machine.boots_late) {
         machine.boots_late = true;
@@ -136,7 +137,7 @@
     // gone: one with tasks but no shard was released as the last leader ended. The cloud's reply
     // proves it gone long before its lease does.
     if (!machine.attempts.empty() && time_since_reached(machine, now) > lost_timeout())
-        cluster_.release_machine(machine, "is known from records only");
+        cluster_.release_machine(machine, ReleaseReason::known_from_records);
 }
 
 void MachineChecker::check_idle(Machine& machine, Millis now) {
@@ -145,22 +146,24 @@
         return;
     }
     if (machine.idle_since == 0) machine.idle_since = now;
-    if (const char* reason = idle_release_reason(machine, now))
-        cluster_.release_machine(machine, reason);
+    if (const auto reason = idle_release_reason(machine, now))
+        cluster_.release_machine(machine, *reason);
 }
 
-// Why an empty machine is to be released, for the log; null: it is kept.
-const char* MachineChecker::idle_release_reason(const Machine& machine, Millis now) const {
+// Why an empty machine is to be released; nothing: it is kept.
+std::optional<ReleaseReason> MachineChecker::idle_release_reason(const Machine& machine,
+                                                                Millis now) const {
     const Millis idle_for = now - machine.idle_since;
     if (machine.reachability == Reachability::replies_only && machine.attempts.empty() &&
         idle_for > seconds(term_.settings().lease_s))
-        return "receives no commands";
+        return ReleaseReason::commands_lost;
     if (machine.accepts_tasks() && machine.reserved_for == kNone &&
         idle_for > autoscaler_.idle_retention(machine, now))
-        return "is idle";
-    if (machine.state != MachineState::draining) return nullptr;
-    if (machine.preemption_expected_at == 0) return "is drained";
-    return machine.attempts.empty() ? "is empty before its preemption" : nullptr;
+        return ReleaseReason::idle;
+    if (machine.state != MachineState::draining) return std::nullopt;
+    if (machine.preemption_expected_at == 0) return ReleaseReason::drained;
+    if (!machine.attempts.empty()) return std::nullopt;
+    return ReleaseReason::preempted;
 }
 
 }  // namespace nickelramp::control
--- a/src/control/machine_checker.h
+++ b/src/control/machine_checker.h
@@ -5,8 +5,11 @@
 /// Runs on the controller's one loop thread; owns no sockets and reads no clock. Times are
 /// milliseconds of the steady clock.
 #pragma once
+#include <optional>
+
 #include "autoscaling/autoscaler.h"
 #include "cluster/cluster_state.h"
+#include "cluster/release_reason.h"
 #include "control/command_sender.h"
 #include "control/reachability_monitor.h"
 #include "failure/failure_detector.h"
@@ -49,8 +52,8 @@
     void check_lease(machines::Machine& machine, Millis now);
     void check_boot(machines::Machine& machine, Millis now);
     void check_idle(machines::Machine& machine, Millis now);
-    [[nodiscard]] const char* idle_release_reason(const machines::Machine& machine,
-                                                  Millis now) const;
+    [[nodiscard]] std::optional<cluster::ReleaseReason> idle_release_reason(
+        const machines::Machine& machine, Millis now) const;
     [[nodiscard]] Millis time_since_reached(const machines::Machine& machine, Millis now) const;
     [[nodiscard]] Millis lost_timeout() const;
     [[nodiscard]] bool awaiting_takeover(Millis now) const;
--- a/src/controller/term_loader.cpp
+++ b/src/controller/term_loader.cpp
@@ -52,11 +52,11 @@
 void load_run_records(const TermRecords& records, const LoopClock& clock,
                       control::ControlLoop& control_loop) {
     for (const kvstore::Entry& entry : records.run_records.entries) {
-        std::string job_id;
-        std::uint32_t chunk = 0;
+        const auto run_key = jobs::parse_run_key(entry.key);
         const auto record = jobs::decode_run_record(entry.value);
-        if (record && jobs::parse_run_key(entry.key, job_id, chunk)) {
-            control_loop.load_checkpoint(job_id, chunk, *record, entry.version, clock.now());
+        if (record && run_key) {
+            control_loop.load_checkpoint(run_key->job_id, run_key->chunk, *record, entry.version,
+                                         clock.now());
         } else {
             spdlog::error("record cannot be decoded: key={}", entry.key);
         }
--- a/src/lifecycle/checkpoint_writer.cpp
+++ b/src/lifecycle/checkpoint_writer.cpp
@@ -187,9 +187,8 @@
     // A changed open record arrives with the watch; until then the retry fails on the same
     // condition.
     for (const std::string& key : reply.failed_conditions) {
-        std::string id;
-        std::uint32_t number = 0;
-        if (jobs::parse_run_key(key, id, number)) job.chunks[number].uncertain = true;
+        if (const auto run_key = jobs::parse_run_key(key))
+            job.chunks[run_key->chunk].uncertain = true;
     }
 }
 
--- a/src/lifecycle/job_lifecycle.cpp
+++ b/src/lifecycle/job_lifecycle.cpp
@@ -66,11 +66,10 @@
 void JobLifecycle::load_checkpoints(const kvstore::ListReply& runs, std::uint64_t token,
                                     Millis now) {
     for (const kvstore::Entry& entry : runs.entries) {
-        std::string id;
-        std::uint32_t chunk = 0;
+        const auto run_key = jobs::parse_run_key(entry.key);
         const auto record = jobs::decode_run_record(entry.value);
-        if (record && jobs::parse_run_key(entry.key, id, chunk))
-            load_checkpoint(id, chunk, *record, entry.version, token, now);
+        if (record && run_key)
+            load_checkpoint(run_key->job_id, run_key->chunk, *record, entry.version, token, now);
     }
 }
 
--- a/src/roles/garbage_collector.cpp
+++ b/src/roles/garbage_collector.cpp
@@ -91,11 +91,9 @@
     candidates_.clear();
     open_jobs_.clear();
     for (const kvstore::Entry& entry : reply.entries) {
-        std::string job;
-        std::uint32_t chunk = 0;
         // A key that is not one of a run is left alone.
-        if (jobs::parse_run_key(entry.key, job, chunk))
-            candidates_.push_back({entry.key, job, entry.version});
+        if (const auto run_key = jobs::parse_run_key(entry.key))
+            candidates_.push_back({entry.key, run_key->job_id, entry.version});
     }
     round_finished_ = !reply.more || reply.entries.empty();
     if (!reply.entries.empty()) last_key_ = reply.entries.back().key;
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -118,7 +118,7 @@
     double slots = shortage_.cpus / cpus;
     for (Index type = 0; type < demand.size() && type < cluster_.types().size(); ++type) {
         if (type >= job.allowed_type.size() || job.allowed_type[type] == 0) continue;
-        const double per_machine = type < job.places_on.size() ? job.places_on[type] : 0;
+        const double per_machine = type < job.slots_by_type.size() ? job.slots_by_type[type] : 0;
         if (per_machine == 0 || rules_.reserved_for_other_work(job, type)) continue;
         estimate.boot_s = std::max(estimate.boot_s, cluster_.types()[type].boot_s);
         slots += per_machine * (demand[type].array_capacity[0] +
--- a/tests/cluster_simulation_leaders.cpp
+++ b/tests/cluster_simulation_leaders.cpp
@@ -159,11 +159,10 @@
                               now());
     }
     for (const auto& [key, stored] : progress.records) {
-        std::string id;
-        std::uint32_t chunk = 0;
-        if (!jobs::parse_run_key(key, id, chunk)) continue;
-        control_loop.load_checkpoint(id, chunk, *jobs::decode_run_record(stored.value),
-                                     stored.version, now());
+        const auto run_key = jobs::parse_run_key(key);
+        if (!run_key) continue;
+        control_loop.load_checkpoint(run_key->job_id, run_key->chunk,
+                                     *jobs::decode_run_record(stored.value), stored.version, now());
     }
 }
 
