--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -144,7 +144,8 @@
 
     void on_peer_status(const peers::Status& status, Millis now);
     /// The grants to send now, by peer. `view_fresh`: every cancellation up to then is known.
-    [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(Millis view_fresh, Millis now) {
+    [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(Millis view_fresh,
+                                                                       Millis now) {
         return shard_allocator_.renewals(view_fresh, now);
     }
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now) {
--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -152,7 +152,7 @@
 
 // Why an empty machine is to be released; nothing: it is kept.
 std::optional<ReleaseReason> MachineChecker::idle_release_reason(const Machine& machine,
-                                                                Millis now) const {
+                                                                 Millis now) const {
     const Millis idle_for = now - machine.idle_since;
     if (machine.reachability == Reachability::replies_only && machine.attempts.empty() &&
         idle_for > seconds(term_.settings().lease_s))
