--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -120,9 +120,7 @@
             [this](const char* request, int status, Millis took) {
                 metrics_.record_answer(request, status, static_cast<double>(took));
             },
-            [this](const std::string& job_id, std::uint64_t& done, std::uint64_t& running) {
-                return find_progress(job_id, done, running);
-            }};
+            [this](const std::string& job_id) { return progress_of(job_id); }};
 }
 
 void Controller::on_elected(std::uint64_t term, std::uint64_t version) {
@@ -141,20 +139,14 @@
 }
 
 // Counts of a job's tasks for display: of the control loop, if this controller has one, else as the
-// leader broadcast them. False: not known here.
-bool Controller::find_progress(const std::string& job_id, std::uint64_t& done,
-                               std::uint64_t& running) const {
+// leader broadcast them; zeros if they are not known here.
+api::TaskCounts Controller::progress_of(const std::string& job_id) const {
     if (const control::ControlLoop* control_loop = term_.control_loop()) {
         const auto progress = control_loop->progress(job_id);
-        done = progress.done;
-        running = progress.running;
-        return progress.known;
+        return {progress.done, progress.running};
     }
     const auto counts = peer_coordinator_.displayed_counts(job_id);
-    if (!counts) return false;
-    done = counts->done;
-    running = counts->running;
-    return true;
+    return counts ? api::TaskCounts{counts->done, counts->running} : api::TaskCounts{};
 }
 
 bool Controller::responds_for_leader(Millis now) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -101,8 +101,7 @@
     PeerCoordinator::Dependencies peer_dependencies();
     RequestRouter::Dependencies router_dependencies();
 
-    bool find_progress(const std::string& job_id, std::uint64_t& done,
-                       std::uint64_t& running) const;
+    [[nodiscard]] api::TaskCounts progress_of(const std::string& job_id) const;
     void tick();
     void run_leader_tick(control::ControlLoop& control_loop);
     void step_down(StepDownReason reason);
