--- a/src/autoscaling/autoscaler.h
+++ b/src/autoscaling/autoscaler.h
@@ -1,12 +1,12 @@
-// The machines that the cloud rents out: hiring for what found no place and ahead of need, and
-// giving back.
+/// @file
+/// Scaling out and in: asks the cloud for machines that are needed and releases those that are not.
 #pragma once
 #include <deque>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "autoscaling/intent_log.h"
+#include "autoscaling/scale_out_plan.h"
 #include "cloud/provisioning_tracker.h"
 #include "cluster/cluster_state.h"
 #include "failure/failure_detector.h"
@@ -16,11 +16,15 @@
 
 namespace nickelramp::autoscaling {
 
-// Boots beyond this many boot times no longer count.
-inline constexpr double kLateBootFactor = 1.7;
-
+/// Carries out what ScaleOutPlan decides and what the cluster state marks for release. Every
+/// request is in the intent log before it is sent, so that a successor can repeat it. Lives as long
+/// as the leader's term, on the loop thread; the control loop calls it. It owns no sockets and
+/// reads no clock: requests go through the term's ServiceGateway, times are milliseconds of the
+/// steady clock. Requests that fail, or whose outcome is unknown, are repeated; nothing is reported
+/// as an error.
 class Autoscaler {
   public:
+    /// The references must outlive the autoscaler.
     Autoscaler(cluster::TermContext& term, cluster::ClusterState& cluster,
                cluster::ControlActions& actions, forecast::DemandForecast& forecast,
                const scheduling::PlacementRules& rules, cloud::ProvisioningTracker& provisioning,
@@ -34,30 +38,44 @@
           intent_log_(intent_log),
           failure_detector_(failure_detector) {}
 
-    // Packs what found no place onto the machines that are coming, and hires for the rest.
+    /// Packs jobs that found no place onto the machines that are coming, and asks for machines for
+    /// the rest. Does nothing until the cloud's list of machines has been read in this term.
+    /// @param unplaced most urgent first
+    /// @param shortage what the forecast of the queue lacks
     void scale_out(const std::vector<jobs::Job*>& unplaced,
-                   const scheduling::JobQueue::CapacityShortage& lacking, Millis now);
-    void on_instances_listed(const std::vector<wire::CloudInstance>& hosts, Millis now);
-    // Beyond that no controller could hear the workers.
-    void set_max_machines(std::size_t most) { max_machines_ = most; }
-    // How long an empty machine is kept.
-    Millis idle_retention(const machines::Machine& machine, Millis now);
-    // Tells the cloud of machines that are to go back, once that is on record.
+                   const scheduling::JobQueue::CapacityShortage& shortage, Millis now);
+    /// The cloud's list of machines was read: takes in what it says.
+    void on_instances_listed(const std::vector<wire::CloudInstance>& instances, Millis now);
+    /// Sets how many machines there may be in all: the controllers could not serve more workers.
+    void set_max_machines(std::size_t max_machines) { max_machines_ = max_machines; }
+    /// How long the machine is kept when it is empty, in milliseconds.
+    [[nodiscard]] Millis idle_retention(const machines::Machine& machine, Millis now);
+    /// Asks the cloud to release the machines that are marked for it, once that is on record.
     void send_releases(Millis now);
-    // Asks again for what nobody knows the outcome of, and writes down what is to be asked.
+    /// Repeats requests of unknown outcome that are due, and writes the intent log. Called each
+    /// tick.
     void run_due_work(Millis now);
-    // What an earlier term has on record as under way.
+    /// Takes over what an earlier term has on record as under way.
     void inherit_intents(lease::Role role,
                          const std::vector<autoscaling::ProvisioningIntent>& intents, Millis now);
+    /// Intents are on record by now: sends what they stand for. Called by the intent log's
+    /// listener.
     void on_intents_recorded(lease::Role role, const std::vector<std::string>& names, Millis now);
 
   private:
+    struct AnsweredRequest {
+        Millis forget_at = 0;
+        std::string name;
+    };
     void request_machines(const cloud::MachineKind& kind, std::uint32_t count);
-    std::size_t remaining_machine_quota() const;
+    [[nodiscard]] std::size_t remaining_machine_quota() const;
     void send_provision_request(const std::string& request);
-    bool record_intent(const autoscaling::ProvisioningIntent& rental);
+    [[nodiscard]] bool record_intent(const autoscaling::ProvisioningIntent& intent);
+    void forget_oldest_answered_request();
     void on_provisioned(const std::string& request, const cloud::MachineKind& kind,
                         const cloud::ProvisionReply& reply, Millis now);
+    void take_in_listed(const wire::CloudInstance& instance, Millis now);
+    [[nodiscard]] std::vector<std::string> releasable_machines();
     void on_released(const std::vector<std::string>& names, bool ok, Millis now);
 
     cluster::TermContext& term_;
@@ -68,9 +86,9 @@
     cloud::ProvisioningTracker& provisioning_;
     autoscaling::IntentLog& intent_log_;
     const failure::FailureDetector& failure_detector_;
-    // Answered rentals stay on record until every list of the cloud has their machines: a successor
-    // learns of them by the same name, and not by renting them again.
-    std::deque<std::pair<Millis, std::string>> answered_requests_;
+    // Answered requests stay on record until every list of the cloud has their machines: a
+    // successor learns of them by the same name instead of asking for as many again.
+    std::deque<AnsweredRequest> answered_requests_;
     bool instances_listed_ = false;  // the cloud's list has been read in this term
     std::size_t max_machines_ = SIZE_MAX;
     bool release_in_flight_ = false;
--- a/src/autoscaling/intent_log.cpp
+++ b/src/autoscaling/intent_log.cpp
@@ -8,12 +8,14 @@
 namespace nickelramp::autoscaling {
 
 namespace {
-constexpr Millis kGap = 1'000;      // between writes of one record
-constexpr Millis kTidyGap = 2'000;  // what is settled waits for company so long
-constexpr Millis kRetry = 250;
+constexpr Millis kWriteInterval = 1'000;  // between writes of one record
+constexpr Millis kRemovalDelay = 2'000;   // that a removal waits for others to go with it
+constexpr Millis kRetryDelay = 250;
 constexpr std::size_t kEntryBytes = 24;  // of an entry beyond its texts
-// Of value_kb; the rest is for what surrounds the entries.
-constexpr std::size_t kPart = 3, kOf = 4;
+// Of state_value_kb; the rest is for what surrounds the entries.
+constexpr std::size_t kEntriesNumerator = 3, kEntriesDenominator = 4;
+constexpr std::size_t kRequestFields = 5;
+constexpr std::uint32_t kMaxCount = 100'000;
 
 std::size_t bytes_of(const ProvisioningIntent& intent) {
     return intent.name.size() + intent.type.size() + intent.zone.size() + kEntryBytes;
@@ -30,8 +32,8 @@
         if (key.rfind(prefix, 0) != 0) continue;
         std::uint64_t term = 0;
         const char* end = key.data() + key.size();
-        auto [ptr, ec] = std::from_chars(key.data() + prefix.size(), end, term);
-        if (ec == std::errc() && ptr == end) return std::pair{role, term};
+        auto [parsed_to, error] = std::from_chars(key.data() + prefix.size(), end, term);
+        if (error == std::errc() && parsed_to == end) return std::pair{role, term};
     }
     return std::nullopt;
 }
@@ -48,59 +50,65 @@
     return {{"intents", std::move(list)}};
 }
 
+static std::optional<ProvisioningIntent> decode_intent(lease::Role role, const wire::Json& entry) {
+    if (!entry.is_array() || entry.empty() || !entry[0].is_string()) return std::nullopt;
+    ProvisioningIntent intent;
+    intent.name = entry[0];
+    if (intent.name.empty()) return std::nullopt;
+    if (role == lease::Role::scale_in) return intent;
+    if (entry.size() < kRequestFields || !entry[1].is_string() || !entry[2].is_string() ||
+        !entry[3].is_boolean() || !entry[4].is_number_unsigned() || entry[4] == 0U ||
+        entry[4] > kMaxCount)
+        return std::nullopt;
+    intent.type = entry[1];
+    intent.zone = entry[2];
+    intent.spot = entry[3];
+    intent.count = entry[4];
+    return intent;
+}
+
 std::optional<std::vector<ProvisioningIntent>> decode_intents(lease::Role role,
                                                               const wire::Json& value) {
     const wire::Json* list = wire::field(value, "intents");
     if (list == nullptr || !list->is_array()) return std::nullopt;
-    std::vector<ProvisioningIntent> out;
-    for (const wire::Json& e : *list) {
-        if (!e.is_array() || e.empty() || !e[0].is_string()) return std::nullopt;
-        ProvisioningIntent intent;
-        intent.name = e[0];
-        if (intent.name.empty()) return std::nullopt;
-        if (role != lease::Role::scale_in) {
-            if (e.size() < 5 || !e[1].is_string() || !e[2].is_string() || !e[3].is_boolean() ||
-                !e[4].is_number_unsigned() || e[4] == 0u || e[4] > 100'000u) {
-                return std::nullopt;
-            }
-            intent.type = e[1];
-            intent.zone = e[2];
-            intent.spot = e[3];
-            intent.count = e[4];
-        }
-        out.push_back(std::move(intent));
+    std::vector<ProvisioningIntent> intents;
+    for (const wire::Json& entry : *list) {
+        std::optional<ProvisioningIntent> intent = decode_intent(role, entry);
+        if (!intent) return std::nullopt;
+        intents.push_back(std::move(*intent));
     }
-    return out;
+    return intents;
 }
 
 std::vector<ProvisioningIntent> IntentLog::load(lease::Role role, const std::string& key,
                                                 const wire::Json& value, std::uint64_t version) {
     auto intents = decode_intents(role, value);
     if (!intents) {
-        // What it named is found by the cloud's list; the record is an operator's to look at.
-        spdlog::error("record {} cannot be read", key);
+        // What it named is found by the cloud's list; the record is left for an operator to look
+        // at.
+        spdlog::error("intent record cannot be read: key={}", key);
         return {};
     }
-    Record& r = record(role);
-    r.inherited_records.push_back({key, version});
+    Record& target = record(role);
+    target.inherited_records.push_back({key, version});
     for (const ProvisioningIntent& intent : *intents) {
-        r.bytes += bytes_of(intent);
-        r.entries[intent.name] = {intent, true, ++r.insertion_count};
+        target.bytes += bytes_of(intent);
+        target.entries[intent.name] = {intent, true, ++target.insertion_count};
     }
-    raise_state(r, State::has_removals);
+    raise_state(target, State::has_removals);
     return *intents;
 }
 
 bool IntentLog::add(lease::Role role, ProvisioningIntent intent) {
-    Record& r = record(role);
-    if (r.entries.count(intent.name) != 0) return true;
-    const std::size_t most =
-        static_cast<std::size_t>(term_.settings().state_value_kb * 1024) * kPart / kOf;
-    if (r.bytes + bytes_of(intent) > most) return false;
-    r.bytes += bytes_of(intent);
-    std::string name = intent.name;
-    r.entries[name] = {std::move(intent), false, ++r.insertion_count};
-    raise_state(r, State::has_additions);
+    Record& target = record(role);
+    if (target.entries.contains(intent.name)) return true;
+    const std::size_t max_bytes = static_cast<std::size_t>(term_.settings().state_value_kb * 1024) *
+                                  kEntriesNumerator / kEntriesDenominator;
+    if (target.bytes + bytes_of(intent) > max_bytes) return false;
+    target.bytes += bytes_of(intent);
+    const std::string name = intent.name;
+    target.entries[name] = {std::move(intent), false, ++target.insertion_count};
+    raise_state(target, State::has_additions);
     return true;
 }
 
@@ -110,112 +118,127 @@
 }
 
 void IntentLog::remove(lease::Role role, const std::string& name) {
-    Record& r = record(role);
-    auto it = r.entries.find(name);
-    if (it == r.entries.end()) return;
-    r.bytes -= bytes_of(it->second.intent);
-    r.entries.erase(it);
-    raise_state(r, State::has_removals);
+    Record& target = record(role);
+    auto it = target.entries.find(name);
+    if (it == target.entries.end()) return;
+    target.bytes -= bytes_of(it->second.intent);
+    target.entries.erase(it);
+    raise_state(target, State::has_removals);
 }
 
 void IntentLog::write(Millis now) {
     if (term_.is_shard_holder() || !term_.lease_confirmed(now)) return;
-    for (lease::Role role : {lease::Role::scale_out, lease::Role::scale_in}) write(role, now);
+    for (const lease::Role role : {lease::Role::scale_out, lease::Role::scale_in}) write(role, now);
 }
 
 void IntentLog::write(lease::Role role, Millis now) {
-    Record& r = record(role);
-    if (r.state == State::clean || r.write_in_flight || now < r.next_write_at ||
-        term_.role_fence(role) == 0)
-        return;
-    if (r.cleanup_at == 0) r.cleanup_at = now + kTidyGap;
-    if (r.state == State::has_removals && now < r.cleanup_at) return;
-    if (r.uncertain) {
+    if (term_.role_fence(role) == 0 || !is_due(record(role), now)) return;
+    if (record(role).uncertain)
         reread(role);
-        return;
-    }
+    else
+        commit(role, now);
+}
+
+bool IntentLog::is_due(Record& record, Millis now) {
+    if (record.state == State::clean || record.write_in_flight || now < record.next_write_at)
+        return false;
+    if (record.cleanup_at == 0) record.cleanup_at = now + kRemovalDelay;
+    return record.state == State::has_additions || now >= record.cleanup_at;
+}
+
+void IntentLog::commit(lease::Role role, Millis now) {
+    Record& source = record(role);
     const std::string key = intent_key(role, term_.info().number);
     kvstore::Transaction transaction;
     // Boots take longer than anything that this could hold up.
     transaction.request_class = kvstore::RequestClass::election;
     transaction.conditions = term_.conditions(role);
-    transaction.conditions.push_back({key, r.version});
-    std::vector<ProvisioningIntent> all;
-    std::vector<std::string> names;
-    for (const auto& [n, e] : r.entries) {
-        all.push_back(e.intent);
-        if (!e.recorded) names.push_back(n);
+    transaction.conditions.push_back({key, source.version});
+    std::vector<ProvisioningIntent> intents;
+    std::vector<std::string> new_names;
+    for (const auto& [name, entry] : source.entries) {
+        intents.push_back(entry.intent);
+        if (!entry.recorded) new_names.push_back(name);
     }
     // Never deleted while the term lasts, and written after every unknown outcome: a late
     // transaction on condition that there is no record would bring back what is settled.
-    transaction.writes.push_back({key, encode_intents(role, all)});
-    std::size_t dropped = 0;
-    for (const kvstore::Condition& c : r.inherited_records) {
+    transaction.writes.push_back({key, encode_intents(role, intents)});
+    std::size_t deleted = 0;
+    for (const kvstore::Condition& inherited : source.inherited_records) {
         if (transaction.writes.size() >= term_.settings().state_txn_ops) break;
-        transaction.conditions.push_back(c);
-        transaction.writes.push_back({c.key, std::nullopt});
-        ++dropped;
+        transaction.conditions.push_back(inherited);
+        transaction.writes.push_back({inherited.key, std::nullopt});
+        ++deleted;
     }
-    r.write_in_flight = true;
-    r.next_write_at = now + kGap;
-    r.cleanup_at = 0;
-    set_state(r, State::clean);  // what changes from here on is for the next
-    term_.gateway().commit(
-        std::move(transaction),
-        term_.guarded([this, role, names, dropped](Millis t, const kvstore::CommitReply& reply) {
-            on_written(role, names, dropped, reply, t);
-        }));
+    source.write_in_flight = true;
+    source.next_write_at = now + kWriteInterval;
+    source.cleanup_at = 0;
+    source.state = State::clean;  // what changes from here on is for the next write
+    term_.gateway().commit(std::move(transaction),
+                           term_.guarded([this, role, new_names, deleted](
+                                             Millis at, const kvstore::CommitReply& reply) {
+                               on_written(role, new_names, deleted, reply, at);
+                           }));
 }
 
 void IntentLog::reread(lease::Role role) {
     record(role).write_in_flight = true;
     term_.gateway().read(intent_key(role, term_.info().number),
-                         term_.guarded([this, role](Millis t, const kvstore::GetReply& reply) {
-                             Record& r = record(role);
-                             r.write_in_flight = false;
-                             auto stamp = kvstore::version_of(reply);
-                             if (!stamp) {
-                                 r.next_write_at = t + kRetry;
+                         term_.guarded([this, role](Millis at, const kvstore::GetReply& reply) {
+                             Record& target = record(role);
+                             target.write_in_flight = false;
+                             const auto version = kvstore::version_of(reply);
+                             if (!version) {
+                                 target.next_write_at = at + kRetryDelay;
                                  return;
                              }
-                             r.version = *stamp;
-                             r.uncertain = false;
-                             write(role, t);
+                             target.version = *version;
+                             target.uncertain = false;
+                             write(role, at);
                          }));
 }
 
 void IntentLog::on_written(lease::Role role, const std::vector<std::string>& names,
-                           std::size_t dropped, const kvstore::CommitReply& reply, Millis now) {
-    Record& r = record(role);
-    r.write_in_flight = false;
+                           std::size_t deleted, const kvstore::CommitReply& reply, Millis now) {
+    Record& target = record(role);
+    target.write_in_flight = false;
     if (reply.status == kvstore::Status::ok) {
-        r.version = reply.revision;
-        r.inherited_records.erase(
-            r.inherited_records.begin(),
-            r.inherited_records.begin() + static_cast<std::ptrdiff_t>(dropped));
-        if (!r.inherited_records.empty()) raise_state(r, State::has_removals);
-        std::vector<std::string> written;
-        for (const std::string& n : names) {
-            auto it = r.entries.find(n);
-            if (it == r.entries.end()) continue;  // settled meanwhile
-            it->second.recorded = true;
-            written.push_back(n);
-        }
-        std::sort(written.begin(), written.end(), [&](const auto& a, const auto& b) {
-            return r.entries[a].order < r.entries[b].order;
-        });
-        if (!written.empty()) listener_.on_intents_recorded(role, written, now);
+        target.version = reply.revision;
+        const auto first = target.inherited_records.begin();
+        target.inherited_records.erase(first, first + static_cast<std::ptrdiff_t>(deleted));
+        if (!target.inherited_records.empty()) raise_state(target, State::has_removals);
+        mark_recorded(role, names, now);
         return;
     }
-    raise_state(r, names.empty() ? State::has_removals : State::has_additions);
-    r.next_write_at = now + kRetry;
-    if (reply.status != kvstore::Status::refused) r.uncertain = true;
+    raise_state(target, names.empty() ? State::has_removals : State::has_additions);
+    target.next_write_at = now + kRetryDelay;
+    on_write_failed(role, reply);
+}
+
+void IntentLog::mark_recorded(lease::Role role, const std::vector<std::string>& names, Millis now) {
+    Record& target = record(role);
+    std::vector<std::string> recorded;
+    for (const std::string& name : names) {
+        auto it = target.entries.find(name);
+        if (it == target.entries.end()) continue;  // answered meanwhile
+        it->second.recorded = true;
+        recorded.push_back(name);
+    }
+    std::sort(recorded.begin(), recorded.end(), [&](const std::string& a, const std::string& b) {
+        return target.entries[a].order < target.entries[b].order;
+    });
+    if (!recorded.empty()) listener_.on_intents_recorded(role, recorded, now);
+}
+
+void IntentLog::on_write_failed(lease::Role role, const kvstore::CommitReply& reply) {
+    Record& target = record(role);
+    if (reply.status != kvstore::Status::refused) target.uncertain = true;
     if (reply.status != kvstore::Status::conflict || term_.check_superseded(reply)) return;
     term_.note_rejected_role_fences(reply);
-    // A record of an earlier term that has gone since, or that a late answer had dropped already.
-    std::erase_if(r.inherited_records, [&](const kvstore::Condition& c) {
-        return std::find(reply.failed_conditions.begin(), reply.failed_conditions.end(), c.key) !=
-               reply.failed_conditions.end();
+    // A record of an earlier term that has gone since, or that a late write had deleted already.
+    std::erase_if(target.inherited_records, [&](const kvstore::Condition& inherited) {
+        return std::find(reply.failed_conditions.begin(), reply.failed_conditions.end(),
+                         inherited.key) != reply.failed_conditions.end();
     });
 }
 
--- a/src/autoscaling/rebalancer.cpp
+++ b/src/autoscaling/rebalancer.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <tuple>
 
+#include "scheduling/free_resources.h"
+
 namespace nickelramp::autoscaling {
 
 using jobs::Attempt;
@@ -14,137 +16,155 @@
 using placement::Need;
 
 namespace {
-constexpr Millis kSettled = 31'000;  // replicas that have run so long may be moved
-constexpr Millis kClosed = 30'000;   // a machine that is being emptied takes nothing new
-constexpr Millis kEvery = 1'000;
-constexpr double kWorthAMove = 1.5;       // so much cheaper is worth the interruption of a replica
-constexpr std::size_t kMostEmptied = 40;  // machines looked at for emptying in one go
+constexpr Millis kMinRunTime = 31'000;      // replicas that have run so long may be moved
+constexpr Millis kCordonDuration = 30'000;  // a machine that is being emptied gets nothing new
+constexpr Millis kRunInterval = 1'000;
+constexpr double kWorthAMove = 1.5;  // so much cheaper is worth the interruption of a replica
+constexpr std::size_t kMaxMachinesPerRun = 40;
 }  // namespace
 
-// Is the other machine a better place to stay for a replica? Cheaper by a good part, or fuller.
-Rebalancer::Improvement Rebalancer::improvement_for(const Job& job, const Machine& from,
-                                                    const Machine& to) {
-    const double here = job.relative_cost_of(from.type, from.spot);
-    const double there = job.relative_cost_of(to.type, to.spot);
-    if (there * kWorthAMove <= here) return Improvement::cheaper_machine;
-    if (to.empty() || here * kWorthAMove <= there) return Improvement::none;
-    // Only to fuller ones, or two machines would be emptied onto each other.
-    const bool fuller = job.spec.gpus > 0
-                            ? to.gpus_free <= from.gpus_free + placement::kFitTolerance
-                            : to.cpus_free <= from.cpus_free + placement::kFitTolerance;
-    return fuller ? Improvement::fuller_machine : Improvement::none;
+void Rebalancer::consolidate(Millis now) {
+    if (now < next_run_at_ || !term_.lease_confirmed(now)) return;
+    next_run_at_ = now + kRunInterval;
+    if (replicas_are_waiting()) return;
+    std::vector<char> zone_done(cluster_.zones().size());
+    // Two machines must not be emptied onto the same slots: replicas of the second had none left
+    // and waited for a boot.
+    PlannedUse planned;
+    for (Machine* machine : machines_to_empty(now)) {
+        if (zone_done[machine->zone] == 0 && move_replicas(*machine, planned, now))
+            zone_done[machine->zone] = 1;
+    }
+}
+
+bool Rebalancer::replicas_are_waiting() const {
+    const std::vector<Index>& pending = cluster_.pending_jobs();
+    return std::any_of(pending.begin(), pending.end(), [this](Index index) {
+        const Job& job = *cluster_.job_by_index(index);
+        return job.is_service() && job.unplaced_tasks() > 0;
+    });
+}
+
+// The machines whose replicas are worth moving, the most expensive and emptiest first.
+std::vector<Machine*> Rebalancer::machines_to_empty(Millis now) const {
+    std::vector<Machine*> machines;
+    cluster_.free_capacity().for_each_candidate(
+        {}, [](const auto& kind) { return !kind.spot; },
+        [&](Index index) {
+            Machine* machine = cluster_.machine_by_index(index);
+            if (machine->live_gang_and_service_attempts > 0 && machine->reserved_for == kNone &&
+                now >= machine->cordoned_until)
+                machines.push_back(machine);
+            return true;
+        });
+    auto price = [&](const Machine* machine) { return cluster_.types()[machine->type].price; };
+    std::sort(machines.begin(), machines.end(), [&](const Machine* a, const Machine* b) {
+        return std::tuple(price(a), a->gpus_free, a->cpus_free) >
+               std::tuple(price(b), b->gpus_free, b->cpus_free);
+    });
+    if (machines.size() > kMaxMachinesPerRun) machines.resize(kMaxMachinesPerRun);
+    return machines;
 }
 
 // Can all replicas on this machine go on elsewhere at once? Then they do: with the image there, a
-// move takes no longer than a few messages. From a dear machine to a cheap one each goes by itself,
-// and may fetch its image for as long as its users wait for a start.
-bool Rebalancer::move_replicas(Machine& from, std::map<Machine*, Need>& planned, Millis now) {
-    std::vector<std::pair<Attempt*, Machine*>> moves;
-    std::map<Machine*, Need> taken = planned;
-    bool all = true;
+// move takes no longer than a few messages. From an expensive machine to a cheap one each goes by
+// itself, and may fetch its image for as long as its users wait for a start.
+bool Rebalancer::move_replicas(Machine& from, PlannedUse& planned, Millis now) {
+    PlannedUse planned_with_moves = planned;
+    const std::vector<Move> moves = plan_moves(from, planned_with_moves, now);
+    if (moves.empty()) return false;
+    spdlog::info("moving replicas: count={} from={} kind={}", moves.size(), from.name,
+                 cluster_.describe_kind(from));
+    from.cordoned_until = now + kCordonDuration;
+    planned = std::move(planned_with_moves);
+    for (const Move& move : moves) cluster_.request_stop(*move.attempt, 0, now);
+    return true;
+}
+
+std::vector<Rebalancer::Move> Rebalancer::plan_moves(const Machine& from, PlannedUse& planned,
+                                                     Millis now) const {
+    std::vector<Move> moves;
+    bool becomes_empty = true;
     for (Attempt* attempt : from.attempts) {
         if (!attempt->live()) continue;
-        Job& job = cluster_.job_of(*attempt);
-        if (!job.is_service() || attempt->state != AttemptState::running || attempt->stop_wanted ||
-            job.spec.one_zone || now - attempt->running_since < kSettled) {
-            all = false;
+        const Job& job = cluster_.job_of(*attempt);
+        std::optional<Target> target;
+        if (may_move(*attempt, job, now)) target = best_target(job, from, planned, now);
+        if (!target) {
+            becomes_empty = false;
             continue;
         }
-        Machine* best = nullptr;
-        std::tuple<bool, double, double> best_rank;
-        for (Machine* machine : rules_.fitting_machines(job, placement::need_of(job), now)) {
-            if (machine == &from || machine->reserved_for != kNone) continue;
-            if (now < machine->cordoned_until) continue;  // it is being emptied itself
-            if (job.spec.spread && job.spec.tasks > 1 && machine->zone != from.zone) continue;
-            const Improvement better = improvement_for(job, from, *machine);
-            if (better == Improvement::none) continue;
-            Need& t = taken[machine];
-            if (!placement::fits_within(machine->cpus_free - t.cpus, machine->gpus_free - t.gpus,
-                                        machine->memory_free - t.memory_gb,
-                                        placement::need_of(job))) {
-                continue;
-            }
-            const double fetch =
-                placement::image_wait_s(job, *machine, cluster_.types()[machine->type]);
-            const bool cheaper = better == Improvement::cheaper_machine;
-            if (fetch > (cheaper ? start_within_s(job) : 0)) continue;
-            const double room = job.spec.gpus > 0 ? machine->gpus_free : machine->cpus_free;
-            const std::tuple rank{!cheaper, fetch, room};
-            if (best == nullptr || rank < best_rank) {
-                best = machine;
-                best_rank = rank;
-            }
-        }
-        if (best == nullptr) {
-            all = false;
-            continue;
-        }
-        taken[best].cpus += job.spec.cpus;
-        taken[best].gpus += job.spec.gpus;
-        taken[best].memory_gb += job.spec.memory_gb;
-        moves.push_back({attempt, best});
+        Need& use = planned[target->machine];
+        use.cpus += job.spec.cpus;
+        use.gpus += job.spec.gpus;
+        use.memory_gb += job.spec.memory_gb;
+        moves.push_back({attempt, target->improvement});
     }
-    if (!all) {
-        std::erase_if(moves, [&](const auto& move) {
-            return improvement_for(cluster_.job_of(*move.first), from, *move.second) !=
-                   Improvement::cheaper_machine;
+    if (!becomes_empty) {
+        std::erase_if(moves, [](const Move& move) {
+            return move.improvement != Improvement::cheaper_machine;
         });
     }
-    if (moves.empty()) return false;
-    spdlog::info("moving {} replicas away from {} ({})", moves.size(), from.name,
-                 cluster_.describe_kind(from));
-    from.cordoned_until = now + kClosed;
-    planned = std::move(taken);
-    for (auto& [a, m] : moves) cluster_.request_stop(*a, 0, now);
-    return true;
+    return moves;
 }
 
-// How long the users of its class may wait for a start at the most, by the operators' objectives.
-double Rebalancer::start_within_s(const Job& job) const {
-    double most = 0;
-    for (const wire::Objective& objective : term_.settings().objectives) {
-        if (objective.kind == wire::Objective::Kind::wait &&
-            objective.job_class == job.spec.job_class) {
-            most = std::max(most, objective.within_s);
-        }
-    }
-    return most;
+bool Rebalancer::may_move(const Attempt& attempt, const Job& job, Millis now) {
+    return job.is_service() && attempt.state == AttemptState::running && !attempt.stop_wanted &&
+           !job.spec.one_zone && now - attempt.running_since >= kMinRunTime;
 }
 
-void Rebalancer::consolidate(Millis now) {
-    if (now < next_run_at_ || !term_.lease_confirmed(now)) return;
-    next_run_at_ = now + kEvery;
-    for (Index i : cluster_.pending_jobs()) {
-        if (cluster_.job_by_index(i)->is_service() &&
-            cluster_.job_by_index(i)->unplaced_tasks() > 0)
-            return;
+std::optional<Rebalancer::Target> Rebalancer::best_target(const Job& job, const Machine& from,
+                                                          PlannedUse& planned, Millis now) const {
+    std::optional<Target> best;
+    for (Machine* machine : rules_.fitting_machines(job, placement::need_of(job), now)) {
+        if (machine == &from || machine->reserved_for != kNone) continue;
+        if (now < machine->cordoned_until) continue;  // it is being emptied itself
+        if (job.spec.spread && job.spec.tasks > 1 && machine->zone != from.zone) continue;
+        const std::optional<Target> target = target_on(*machine, job, from, planned[machine]);
+        if (target && (!best || target->rank < best->rank)) best = target;
     }
-    std::vector<Machine*> list;
-    cluster_.free_capacity().for_each_candidate(
-        {}, [](const auto& kind) { return !kind.spot; },
-        [&](Index i) {
-            Machine* machine = cluster_.machine_by_index(i);
-            if (machine->live_gang_and_service_attempts > 0 && machine->reserved_for == kNone &&
-                now >= machine->cordoned_until) {
-                list.push_back(machine);
-            }
-            return true;
-        });
-    auto price = [&](const Machine* machine) { return cluster_.types()[machine->type].price; };
-    std::sort(list.begin(), list.end(), [&](const Machine* a, const Machine* b) {
-        return std::tuple(price(a), a->gpus_free, a->cpus_free) >
-               std::tuple(price(b), b->gpus_free, b->cpus_free);
-    });
-    if (list.size() > kMostEmptied) list.resize(kMostEmptied);
-    std::vector<char> done(cluster_.zones().size());
-    // Two machines must not be emptied onto the same places: replicas of the second had none left
-    // and waited for a boot.
-    std::map<Machine*, Need> planned;
-    for (Machine* machine : list) {
-        // One at a time in each zone.
-        if (done[machine->zone] == 0 && move_replicas(*machine, planned, now))
-            done[machine->zone] = 1;
+    return best;
+}
+
+// Nothing if the replica had better stay where it is than go to this machine.
+std::optional<Rebalancer::Target> Rebalancer::target_on(Machine& machine, const Job& job,
+                                                        const Machine& from,
+                                                        const Need& planned_use) const {
+    const Improvement improvement = improvement_for(job, from, machine);
+    if (improvement == Improvement::none) return std::nullopt;
+    scheduling::FreeResources free = scheduling::FreeResources::of(machine);
+    free.subtract(planned_use, 1);
+    if (free.tasks_that_fit(placement::need_of(job), 1) == 0) return std::nullopt;
+    const double fetch_s = placement::image_wait_s(job, machine, cluster_.types()[machine.type]);
+    const bool cheaper = improvement == Improvement::cheaper_machine;
+    if (fetch_s > (cheaper ? max_start_wait_s(job) : 0)) return std::nullopt;
+    const double free_amount = job.spec.gpus > 0 ? machine.gpus_free : machine.cpus_free;
+    return Target{&machine, improvement, {!cheaper, fetch_s, free_amount}};
+}
+
+// Is the other machine a better place to stay for a replica? Cheaper by a good part, or fuller.
+Rebalancer::Improvement Rebalancer::improvement_for(const Job& job, const Machine& from,
+                                                    const Machine& to) {
+    const double cost_here = job.relative_cost_of(from.type, from.spot);
+    const double cost_there = job.relative_cost_of(to.type, to.spot);
+    if (cost_there * kWorthAMove <= cost_here) return Improvement::cheaper_machine;
+    if (to.empty() || cost_here * kWorthAMove <= cost_there) return Improvement::none;
+    // Only to fuller ones, or two machines would be emptied onto each other.
+    const bool fuller = job.spec.gpus > 0
+                            ? to.gpus_free <= from.gpus_free + placement::kFitTolerance
+                            : to.cpus_free <= from.cpus_free + placement::kFitTolerance;
+    return fuller ? Improvement::fuller_machine : Improvement::none;
+}
+
+// How long the users of its class may wait for a start at the most, by the operators' objectives.
+double Rebalancer::max_start_wait_s(const Job& job) const {
+    double longest = 0;
+    for (const wire::Objective& objective : term_.settings().objectives) {
+        if (objective.kind == wire::Objective::Kind::wait &&
+            objective.job_class == job.spec.job_class)
+            longest = std::max(longest, objective.within_s);
     }
+    return longest;
 }
 
 }  // namespace nickelramp::autoscaling
--- /dev/null
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -0,0 +1,347 @@
+#include "autoscaling/scale_out_plan.h"
+
+#include <algorithm>
+
+namespace nickelramp::autoscaling {
+
+using cloud::MachineKind;
+using forecast::ReplicaHeadroom;
+using forecast::TypeDemand;
+using jobs::Job;
+using machines::Machine;
+using scheduling::FreeResources;
+using scheduling::ZoneTaskCounts;
+
+namespace {
+constexpr std::size_t kMaxLimitedRequests = 400;  // machines in one round, but whole ones for gangs
+constexpr std::uint32_t kMaxSlotsPriced = 64;     // of a machine, when prices are compared
+constexpr std::uint32_t kMaxReplicaSlots = 1024;  // of a machine
+constexpr double kZoneBalanceWeight = 0.001;      // of the price, for each machine in the zone
+}  // namespace
+
+ScaleOutPlan::ScaleOutPlan(const cluster::TermContext& term, cluster::ClusterState& cluster,
+                           forecast::DemandForecast& forecast,
+                           const scheduling::PlacementRules& rules,
+                           const cloud::ProvisioningTracker& provisioning,
+                           const failure::FailureDetector& failure_detector, Millis now)
+    : term_(term),
+      cluster_(cluster),
+      forecast_(forecast),
+      rules_(rules),
+      provisioning_(provisioning),
+      failure_detector_(failure_detector),
+      now_(now),
+      machines_by_zone_(cluster.machine_count_by_zone()),
+      slots_freed_soon_(forecast.slots_freed_soon()) {
+    machines_by_zone_.resize(cluster_.zones().size());
+}
+
+// Machines for gangs and replicas that are likely to come are set aside before jobs that may use
+// spot machines are packed: arrays would take them, and as many more would be asked for the next
+// time, and the next.
+std::vector<MachineDemand> ScaleOutPlan::make(
+    const std::vector<Job*>& unplaced, const scheduling::JobQueue::CapacityShortage& shortage) {
+    add_coming_machines();
+    plan_jobs(unplaced, false);
+    plan_whole_machines();
+    plan_replica_headroom();
+    plan_jobs(unplaced, true);
+    plan_expensive_machines(shortage);
+    plan_spot_machines();
+    return requests_;
+}
+
+void ScaleOutPlan::add_coming_machines() {
+    for (const Index index : cluster_.provisioning_machines()) {
+        const Machine& machine = *cluster_.machine_by_index(index);
+        if (is_coming(machine)) add_machine({machine.type, machine.zone, machine.spot});
+    }
+    for (const auto& [name, request] : provisioning_.requests()) {
+        for (std::uint32_t n = 0; n < request.count; ++n) add_machine(request.kind);
+    }
+}
+
+void ScaleOutPlan::add_machine(const MachineKind& kind) {
+    machines_.push_back({kind, FreeResources::of(cluster_.types()[kind.type])});
+}
+
+bool ScaleOutPlan::is_coming(const Machine& machine) const {
+    if (machine.type == kNone || machine.unverified) return false;
+    if (failure_detector_.is_lost(machine.zone)) return false;  // nothing can start there for now
+    if (machine.state == machines::MachineState::joining) return true;
+    const double boot_s = cluster_.types()[machine.type].boot_s;
+    return now_ - machine.provisioned_at <= seconds(boot_s * kLateBootFactor);
+}
+
+void ScaleOutPlan::plan_jobs(const std::vector<Job*>& unplaced, bool spot) {
+    for (const Job* job : unplaced) {
+        if (job->spec.spot == spot) plan_job(*job);
+    }
+}
+
+void ScaleOutPlan::plan_job(const Job& job) {
+    std::optional<JobRequirement> requirement = requirement_of(job);
+    if (!requirement) return;
+    if (job.spec.shape == wire::Shape::array) subtract_slots_freed_soon(*requirement);
+    const bool is_split_gang = job.is_gang() && job.spec.one_zone && job.spec.tasks > 1;
+    if (is_split_gang && requirement->zone == kNone) choose_gang_zone(*requirement);
+    for (PlannedMachine& machine : machines_) {
+        if (requirement->tasks == 0) break;
+        pack(*requirement, machine);
+    }
+    while (requirement->tasks > 0) {
+        const std::optional<MachineKind> kind =
+            cheapest_kind(*requirement, requirement->zone, PriceLimit::not_expensive);
+        if (!request_limited(kind)) break;
+        add_machine(*kind);
+        pack(*requirement, machines_.back());
+    }
+    remove_full_machines();
+}
+
+// Nothing for a gang that its team's quota leaves too little for: more machines would not help it.
+std::optional<ScaleOutPlan::JobRequirement> ScaleOutPlan::requirement_of(const Job& job) const {
+    const std::uint32_t tasks = std::min(job.placeable_tasks(), rules_.tasks_within_limit(job));
+    if (job.is_gang() && tasks < job.spec.tasks) return std::nullopt;
+    std::vector<std::uint32_t> tasks_by_zone(cluster_.zones().size());
+    Index only_zone = job.zone;
+    if (job.spec.one_zone || job.spec.spread) tasks_by_zone = cluster_.live_tasks_by_zone(job);
+    for (Index zone = 0; job.spec.one_zone && zone < tasks_by_zone.size(); ++zone) {
+        if (tasks_by_zone[zone] > 0) only_zone = zone;
+    }
+    return JobRequirement{&job, placement::need_of(job), tasks, only_zone,
+                          ZoneTaskCounts(job, std::move(tasks_by_zone))};
+}
+
+// Slots that running array tasks leave before a machine could boot need no machine.
+void ScaleOutPlan::subtract_slots_freed_soon(JobRequirement& requirement) {
+    const Job& job = *requirement.job;
+    for (Index type = 0; type < slots_freed_soon_.size() && type < job.allowed_type.size();
+         ++type) {
+        if (job.allowed_type[type] == 0 || rules_.reserved_for_other_work(job, type)) continue;
+        const std::uint32_t slots = std::min(requirement.tasks, slots_freed_soon_[type]);
+        slots_freed_soon_[type] -= slots;
+        requirement.tasks -= slots;
+    }
+}
+
+// A gang bound to one zone is packed into the zone that already has most room coming, of those
+// where the rest can be had: in a zone without another machine it would be waited for as long as
+// that room lasts.
+void ScaleOutPlan::choose_gang_zone(JobRequirement& requirement) const {
+    const std::vector<std::uint32_t> slots = slots_by_zone(requirement);
+    if (*std::max_element(slots.begin(), slots.end()) == 0) return;
+    Index& chosen = requirement.zone;
+    for (Index zone = 0; zone < slots.size(); ++zone) {
+        if (chosen != kNone && slots[zone] <= slots[chosen]) continue;
+        if (slots[zone] >= requirement.tasks ||
+            cheapest_kind(requirement, zone, PriceLimit::not_expensive))
+            chosen = zone;
+    }
+}
+
+std::vector<std::uint32_t> ScaleOutPlan::slots_by_zone(const JobRequirement& requirement) const {
+    const Job& job = *requirement.job;
+    std::vector<std::uint32_t> slots(cluster_.zones().size());
+    for (const PlannedMachine& machine : machines_) {
+        if (machine.kind.spot && !job.spec.spot) continue;
+        slots[machine.kind.zone] +=
+            machine.free.tasks_that_fit(requirement.need, requirement.tasks);
+    }
+    for (const Machine* machine : rules_.fitting_machines(job, requirement.need, now_)) {
+        slots[machine->zone] +=
+            FreeResources::of(*machine).tasks_that_fit(requirement.need, requirement.tasks);
+    }
+    return slots;
+}
+
+// Puts as many of the tasks on the machine as fit and may go there.
+void ScaleOutPlan::pack(JobRequirement& requirement, PlannedMachine& machine) const {
+    const Job& job = *requirement.job;
+    const MachineKind& kind = machine.kind;
+    if (job.allowed_type.size() <= kind.type || job.allowed_type[kind.type] == 0) return;
+    if (requirement.zone != kNone && kind.zone != requirement.zone) return;
+    if (kind.spot && !job.spec.spot) return;
+    if (rules_.reserved_for_other_work(job, kind.type)) return;
+    const std::uint32_t tasks = requirement.zone_tasks.allowed_in(
+        kind.zone, machine.free.tasks_that_fit(requirement.need, requirement.tasks));
+    if (tasks == 0) return;
+    machine.free.subtract(requirement.need, tasks);
+    requirement.zone_tasks.add(kind.zone, tasks);
+    if (job.spec.one_zone) requirement.zone = kind.zone;
+    requirement.tasks -= tasks;
+}
+
+void ScaleOutPlan::remove_full_machines() {
+    std::erase_if(machines_, [this](const PlannedMachine& machine) {
+        const bool has_gpus = cluster_.types()[machine.kind.type].gpus > 0;
+        return machine.free.cpus <= placement::kFitTolerance ||
+               (has_gpus && machine.free.gpus <= placement::kFitTolerance);
+    });
+}
+
+// Whole machines for tasks that are likely to come and can't wait for a boot.
+void ScaleOutPlan::plan_whole_machines() {
+    const std::vector<TypeDemand>& demand = forecast_.demand();
+    for (Index type = 0; type < demand.size(); ++type) {
+        auto missing = static_cast<std::size_t>(forecast_.wanted_urgent_machines(type, now_));
+        missing -= std::min(missing, demand[type].available_for_whole_machine_tasks);
+        missing -= set_aside_untouched(type, missing);
+        for (; missing > 0; --missing) {
+            const std::optional<MachineKind> kind = in_emptiest_zone(type, false);
+            if (!kind) break;
+            request(*kind);
+        }
+    }
+}
+
+// Takes up to `wanted` ordinary machines that nothing is packed on out of the plan.
+// @return how many it took.
+std::size_t ScaleOutPlan::set_aside_untouched(Index type, std::size_t wanted) {
+    const wire::MachineType& machine_type = cluster_.types()[type];
+    std::size_t taken = 0;
+    std::erase_if(machines_, [&](const PlannedMachine& machine) {
+        const bool untouched = machine.kind.type == type && !machine.kind.spot &&
+                               machine.free.gpus >= machine_type.gpus &&
+                               machine.free.cpus >= machine_type.cpus;
+        if (!untouched || taken == wanted) return false;
+        ++taken;
+        return true;
+    });
+    return taken;
+}
+
+void ScaleOutPlan::plan_replica_headroom() {
+    const ReplicaHeadroom& headroom = forecast_.replica_headroom();
+    if (headroom.type == kNone) return;
+    double missing = forecast_.wanted_replica_slots(now_) - headroom.free_slots;
+    missing = use_planned_for_replicas(missing);
+    const std::uint32_t slots_per_machine = FreeResources::of(cluster_.types()[headroom.type])
+                                                .tasks_that_fit(headroom.need, kMaxReplicaSlots);
+    while (missing > 0 && request_limited(in_emptiest_zone(headroom.type, false)))
+        missing -= slots_per_machine;
+}
+
+// Sets slots on ordinary, not expensive planned machines aside for replicas.
+// @return how many of the wanted slots are missing yet.
+double ScaleOutPlan::use_planned_for_replicas(double wanted_slots) {
+    const ReplicaHeadroom& headroom = forecast_.replica_headroom();
+    for (PlannedMachine& machine : machines_) {
+        if (wanted_slots <= 0) break;
+        const MachineKind& kind = machine.kind;
+        if (kind.spot || kind.type >= headroom.relative_cost.size() ||
+            headroom.relative_cost[kind.type].first > placement::kExpensiveFactor)
+            continue;
+        const std::uint32_t slots = machine.free.tasks_that_fit(headroom.need, kMaxReplicaSlots);
+        wanted_slots -= slots;
+        machine.free.subtract(headroom.need, slots);
+    }
+    return wanted_slots;
+}
+
+// Expensive machines for arrays, as many as the forecast of the queue lacks.
+void ScaleOutPlan::plan_expensive_machines(const scheduling::JobQueue::CapacityShortage& shortage) {
+    if (shortage.job == kNone || cluster_.job_by_index(shortage.job) == nullptr) return;
+    const Job& job = *cluster_.job_by_index(shortage.job);
+    double cpus = shortage.cpus;
+    for (const auto& [name, request] : provisioning_.requests()) {
+        if (rules_.is_expensive(job, request.kind.type, request.kind.spot))
+            cpus -= request.count * cluster_.types()[request.kind.type].cpus;
+    }
+    const JobRequirement requirement{
+        &job, placement::need_of(job), job.spec.tasks, job.zone,
+        ZoneTaskCounts(job, std::vector<std::uint32_t>(cluster_.zones().size()))};
+    while (cpus > 0) {
+        const std::optional<MachineKind> kind =
+            cheapest_kind(requirement, requirement.zone, PriceLimit::any);
+        if (!request_limited(kind)) break;
+        cpus -= std::max(1.0, cluster_.types()[kind->type].cpus);
+    }
+}
+
+// Spot machines are cheap: room for what is likely to come is there before it comes.
+void ScaleOutPlan::plan_spot_machines() {
+    if (term_.options().use_spot == 0) return;
+    const std::vector<TypeDemand>& demand = forecast_.demand();
+    for (Index type = 0; type < demand.size(); ++type) {
+        double missing =
+            forecast_.wanted_spot_machines(type, now_) - demand[type].free_spot_machines;
+        for (const PlannedMachine& machine : machines_) {
+            if (machine.kind.spot && machine.kind.type == type)
+                missing -= machine.free.cpus / std::max(1.0, cluster_.types()[type].cpus);
+        }
+        while (missing >= 1 && request_limited(in_emptiest_zone(type, true))) missing -= 1;
+    }
+}
+
+// The kind that costs least for a task of the job, of those that the cloud has not just refused.
+std::optional<MachineKind> ScaleOutPlan::cheapest_kind(const JobRequirement& requirement,
+                                                       Index required_zone,
+                                                       PriceLimit limit) const {
+    const Job& job = *requirement.job;
+    double least_price = 0;
+    std::optional<MachineKind> cheapest;
+    for (Index index = 0; index < cluster_.types().size() && index < job.allowed_type.size();
+         ++index) {
+        const wire::MachineType& type = cluster_.types()[index];
+        const double slots =
+            FreeResources::of(type).tasks_that_fit(requirement.need, kMaxSlotsPriced);
+        if (job.allowed_type[index] == 0 || slots == 0) continue;
+        for (const std::string& zone_name : type.zones) {
+            const Index zone = cluster_.zones().find(zone_name);
+            if (required_zone != kNone && zone != required_zone) continue;
+            if (!requirement.zone_tasks.allows_more_in(zone)) continue;
+            for (const bool spot : {true, false}) {
+                const MachineKind kind{index, zone, spot};
+                if (!may_request(job, kind, limit)) continue;
+                double price = (spot ? type.spot_price : type.price) / slots;
+                price *= 1.0 + kZoneBalanceWeight * machines_by_zone_[zone];
+                if (cheapest && price >= least_price) continue;
+                cheapest = kind;
+                least_price = price;
+            }
+        }
+    }
+    return cheapest;
+}
+
+bool ScaleOutPlan::may_request(const Job& job, const MachineKind& kind, PriceLimit limit) const {
+    if (failure_detector_.is_lost(kind.zone)) return false;
+    if (kind.spot && (!job.spec.spot || term_.options().use_spot == 0)) return false;
+    if (limit == PriceLimit::not_expensive && rules_.is_expensive(job, kind.type, kind.spot))
+        return false;
+    if (rules_.reserved_for_other_work(job, kind.type)) return false;
+    return !provisioning_.is_backing_off(kind, now_);
+}
+
+// In the zone with fewest machines, of those where the cloud has not just refused; nothing if it
+// has refused everywhere.
+std::optional<MachineKind> ScaleOutPlan::in_emptiest_zone(Index type, bool spot) const {
+    std::optional<MachineKind> emptiest;
+    for (const std::string& zone_name : cluster_.types()[type].zones) {
+        const MachineKind kind{type, cluster_.zones().find(zone_name), spot};
+        if (provisioning_.is_backing_off(kind, now_)) continue;
+        if (failure_detector_.is_lost(kind.zone)) continue;
+        if (!emptiest || machines_by_zone_[kind.zone] < machines_by_zone_[emptiest->zone])
+            emptiest = kind;
+    }
+    return emptiest;
+}
+
+void ScaleOutPlan::request(const MachineKind& kind) {
+    auto it = std::find_if(requests_.begin(), requests_.end(),
+                           [&kind](const MachineDemand& demand) { return demand.kind == kind; });
+    if (it == requests_.end()) it = requests_.insert(it, {kind, 0});
+    ++it->count;
+    ++machines_by_zone_[kind.zone];
+}
+
+// @return false if there is no such kind, or if the round asks for enough already.
+bool ScaleOutPlan::request_limited(const std::optional<MachineKind>& kind) {
+    if (!kind || limited_request_count_ >= kMaxLimitedRequests) return false;
+    ++limited_request_count_;
+    request(*kind);
+    return true;
+}
+
+}  // namespace nickelramp::autoscaling
