--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,9 +1,11 @@
-// The cloud's client: within the cloud's rate, returns and hires before lists.
+/// @file
+/// HTTP client of the cloud's API.
 #pragma once
 #include <uv.h>
 
 #include <deque>
 #include <functional>
+#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
@@ -17,49 +19,65 @@
 
 namespace nickelramp::cloud {
 
+/// Sends calls to the cloud within its request rate: provisioning and releases go before lists, and
+/// neither keeps the other waiting for good. One lives in each controller process, on the loop
+/// thread; it owns the connections and reads the loop's clock. Each call's callback is called once,
+/// on the loop thread, also if the call fails or was never sent.
 class CloudClient {
   public:
-    CloudClient(uv_loop_t* loop, const sockaddr_in& address, const std::string& host, double rps);
+    /// @param host value of the HTTP Host header
+    /// @param requests_per_s the rate that the cloud allows; a part of it is left to others
+    CloudClient(uv_loop_t* loop, const sockaddr_in& address, const std::string& host,
+                double requests_per_s);
 
+    /// The cloud's answer; nothing if the call failed or the answer can't be read.
     using MachineTypesDone =
         std::function<void(const std::optional<std::vector<wire::MachineType>>&)>;
     using InstancesDone =
         std::function<void(const std::optional<std::vector<wire::CloudInstance>>&)>;
+    using ProvisionDone = std::function<void(const ProvisionReply&)>;
+    using ReleaseDone = std::function<void(bool released)>;
 
     void list_machine_types(MachineTypesDone done);
-    void list_instances(InstancesDone done);  // all pages
-    // Without the right nothing is queued, and what is queued is not sent once the right is over.
-    void provision(const lease::LeaseProof<lease::ScaleOut>& permit, const std::string& request,
+    /// Lists all machines, page by page; nothing if any page fails.
+    void list_instances(InstancesDone done);
+    /// Asks for `count` machines. Needs proof of the scale-out role's lease, which is checked again
+    /// when the bytes go out: what is queued is not sent once the lease is over (Result::not_sent).
+    /// @param request its name: repeated under the same name it provisions nothing twice
+    void provision(const lease::LeaseProof<lease::ScaleOut>& proof, const std::string& request,
                    const std::string& type, const std::string& zone, bool spot, std::uint32_t count,
-                   std::function<void(const ProvisionReply&)> done);
-    void release(const lease::LeaseProof<lease::ScaleIn>& permit,
-                 const std::vector<std::string>& machines, std::function<void(bool)> done);
+                   ProvisionDone done);
+    /// Returns machines to the cloud; likewise under the scale-in role.
+    void release(const lease::LeaseProof<lease::ScaleIn>& proof,
+                 const std::vector<std::string>& machines, ReleaseDone done);
 
-    // Calls went out, and none has been answered for long.
-    bool is_unreachable(Millis now) const;
+    /// Have calls gone out, and none been answered for long?
+    [[nodiscard]] bool is_unreachable(Millis now) const;
 
   private:
     struct Call {
         const char* method;
         std::string target;
         std::string body;
-        Millis timeout;
         net::HttpClient::Done on_reply;
         net::HttpClient::MaySend may_send = {};
     };
+    [[nodiscard]] bool has_queued() const;
     void submit(std::deque<Call>& queue, Call call);
-    Call next();
+    [[nodiscard]] Call take_next();
+    void refill_tokens(Millis now);
     void send_queued();
-    void list_instance_page(std::shared_ptr<std::vector<wire::CloudInstance>> sofar,
+    void send(Call call, Millis now);
+    void list_instance_page(std::shared_ptr<std::vector<wire::CloudInstance>> instances,
                             const std::string& after, InstancesDone done);
 
     uv_loop_t* loop_;
     net::HttpClient http_;
     double requests_per_s_;
-    double request_tokens_;
+    double request_tokens_;  // requests that may go out now
     Millis refilled_at_;
     std::deque<Call> change_queue_, list_queue_;
-    int consecutive_changes_ = 0;
+    int consecutive_changes_ = 0;   // sent since the last list
     Millis unanswered_since_ = -1;  // when the first call went out that no answer has followed
     net::Timer timer_;
 };
--- a/src/cloud/machine_kind.h
+++ b/src/cloud/machine_kind.h
@@ -1,4 +1,5 @@
-// A machine type in a zone, spot or ordinary.
+/// @file
+/// The kinds of machines that the cloud offers.
 #pragma once
 #include <compare>
 
@@ -6,6 +7,8 @@
 
 namespace nickelramp::cloud {
 
+/// A machine type in a zone, spot or ordinary: what the cloud has or lacks, and what is asked for.
+/// The indices are those of ClusterState::types() and ClusterState::zones().
 struct MachineKind {
     Index type = kNone, zone = kNone;
     bool spot = false;
--- a/src/cloud/provisioning_tracker.cpp
+++ b/src/cloud/provisioning_tracker.cpp
@@ -7,9 +7,10 @@
 namespace nickelramp::cloud {
 
 namespace {
-constexpr Millis kFirstBlock = 5'000;
-constexpr Millis kMostBlock = 20'000;
-constexpr Millis kTrouble = 1'500;
+constexpr Millis kFirstBackoff = 5'000;  // doubled with each refusal in a row
+constexpr Millis kMaxBackoff = 20'000;
+constexpr std::uint32_t kMaxDoublings = 4;
+constexpr Millis kRetryDelay = 1'500;  // after faults that say nothing about the kind
 }  // namespace
 
 bool ProvisioningTracker::is_backing_off(const MachineKind& kind, Millis now) const {
@@ -21,10 +22,10 @@
 
 std::string ProvisioningTracker::start_request(std::uint64_t term, std::uint64_t fence,
                                                const MachineKind& kind, std::uint32_t count) {
-    for (const auto& [name, h] : requests_) {
-        if (h.kind == kind && !h.inherited) return "";  // one question at a time
+    for (const auto& [name, request] : requests_) {
+        if (request.kind == kind && !request.inherited) return "";  // one at a time
     }
-    // Names are never used again: the term is in them, and the duty's fence.
+    // Names are never used again: the term is in them, and the role's fence.
     std::string name = fmt::format("t{}f{}-{}", term, fence, ++request_count_);
     requests_[name] = {kind, count, ProvisioningState::recording, false, false, 0};
     return name;
@@ -36,66 +37,74 @@
 }
 
 std::size_t ProvisioningTracker::own_request_count() const {
-    return static_cast<std::size_t>(std::count_if(
-        requests_.begin(), requests_.end(), [](const auto& h) { return !h.second.inherited; }));
+    return static_cast<std::size_t>(
+        std::count_if(requests_.begin(), requests_.end(),
+                      [](const auto& entry) { return !entry.second.inherited; }));
 }
 
 void ProvisioningTracker::on_sent(const std::string& request) {
     auto it = requests_.find(request);
-    if (it != requests_.end()) set_state(it->second, ProvisioningState::sent);
+    if (it != requests_.end()) it->second.state = ProvisioningState::sent;
 }
 
 std::vector<std::string> ProvisioningTracker::due_retries(Millis now) const {
-    std::vector<std::string> out;
-    for (const auto& [name, h] : requests_) {
-        if (h.state == ProvisioningState::awaiting_retry && now >= h.retry_at) out.push_back(name);
+    std::vector<std::string> due;
+    for (const auto& [name, request] : requests_) {
+        if (request.state == ProvisioningState::awaiting_retry && now >= request.retry_at)
+            due.push_back(name);
     }
-    return out;
+    return due;
 }
 
 void ProvisioningTracker::increase_backoff(Backoff& backoff, Millis first, Millis now) {
     backoff.blocked_until =
-        now + std::min(kMostBlock, first << std::min(backoff.refusal_count, 4u));
+        now + std::min(kMaxBackoff, first << std::min(backoff.refusal_count, kMaxDoublings));
     ++backoff.refusal_count;
 }
 
 bool ProvisioningTracker::on_reply(const std::string& request, const ProvisionReply& reply,
                                    Millis now) {
+    using Result = ProvisionReply::Result;
     auto it = requests_.find(request);
     if (it == requests_.end()) return true;
-    Request& hire = it->second;
-    using Result = ProvisionReply::Result;
-    hire.may_execute_late |= reply.result == Result::unknown;
-    const bool open = reply.result == Result::unknown || reply.result == Result::rejected ||
-                      reply.result == Result::not_sent;
-    Backoff& offer = backoffs_[hire.kind];
-    if (open && hire.may_execute_late) {
-        // Another name would rent the same again if this one is executed after all.
-        set_state(hire, ProvisioningState::awaiting_retry);
-        hire.retry_at = now + kTrouble;
+    Request& entry = it->second;
+    entry.may_execute_late |= reply.result == Result::unknown;
+    const bool not_done = reply.result == Result::unknown || reply.result == Result::rejected ||
+                          reply.result == Result::not_sent;
+    Backoff& backoff = backoffs_[entry.kind];
+    if (not_done && entry.may_execute_late) {
+        // Under another name the same would be provisioned again if this one is executed after all.
+        entry.state = ProvisioningState::awaiting_retry;
+        entry.retry_at = now + kRetryDelay;
         return false;
     }
+    apply_result(backoff, entry, reply, now);
+    requests_.erase(it);
+    return true;
+}
+
+void ProvisioningTracker::apply_result(Backoff& backoff, const Request& request,
+                                       const ProvisionReply& reply, Millis now) {
+    using Result = ProvisionReply::Result;
     switch (reply.result) {
-        case ProvisionReply::Result::provisioned:
-            if (reply.machines.size() < hire.count)
-                increase_backoff(offer, kFirstBlock, now);
+        case Result::provisioned:
+            if (reply.machines.size() < request.count)
+                increase_backoff(backoff, kFirstBackoff, now);
             else
-                offer.refusal_count = 0;
+                backoff.refusal_count = 0;
             break;
-        case ProvisionReply::Result::no_capacity:
-            increase_backoff(offer, kFirstBlock, now);
+        case Result::no_capacity:
+            increase_backoff(backoff, kFirstBackoff, now);
             break;
-        case ProvisionReply::Result::rejected:
-        case ProvisionReply::Result::not_sent:
-        case ProvisionReply::Result::unknown:
-            offer.blocked_until = now + kTrouble;
+        case Result::rejected:
+        case Result::not_sent:
+        case Result::unknown:
+            backoff.blocked_until = now + kRetryDelay;
             break;
-        case ProvisionReply::Result::malformed:
-            increase_backoff(offer, kMostBlock, now);
+        case Result::malformed:
+            increase_backoff(backoff, kMaxBackoff, now);
             break;
     }
-    requests_.erase(it);
-    return true;
 }
 
 }  // namespace nickelramp::cloud
--- a/src/cloud/provisioning_tracker.h
+++ b/src/cloud/provisioning_tracker.h
@@ -1,6 +1,5 @@
-// What the cloud has said about each kind of machine lately, and what it is being asked for: the
-// part of the leader's supply that needs no look at jobs or machines. Handed the time; sends
-// nothing itself.
+/// @file
+/// Requests to the cloud that are under way, and the back-off per machine kind.
 #pragma once
 #include <map>
 #include <string>
@@ -12,49 +11,60 @@
 
 namespace nickelramp::cloud {
 
+/// What the cloud is being asked for, and what it has said about each kind of machine lately. Owned
+/// by the leader's control loop for one term and driven by the autoscaler, on the loop thread; it
+/// sends nothing itself and reads no clock. Times are milliseconds of the steady clock.
 class ProvisioningTracker {
   public:
-    // writing: its name is being put on record; asked: sent, not answered yet; waiting: nobody
-    // knows what became of it, and it is asked again under the same name, which rents nothing new
-    enum class ProvisioningState { recording, sent, awaiting_retry };
+    enum class ProvisioningState {
+        recording,       ///< its intent is being put on record; nothing was sent
+        sent,            ///< not answered yet
+        awaiting_retry,  ///< of unknown outcome: repeated under the same name, which provisions
+                         ///< nothing twice
+    };
     struct Request {
         MachineKind kind;
-        std::uint32_t count = 0;
+        std::uint32_t count = 0;  ///< of machines
         ProvisioningState state = ProvisioningState::recording;
-        bool inherited = false;
-        bool may_execute_late = false;  // something of it may still be executed late
+        bool inherited = false;         ///< an earlier term's
+        bool may_execute_late = false;  ///< something of it may still be executed
         Millis retry_at = 0;
     };
 
-    // Has the cloud just said that it has none?
-    bool is_backing_off(const MachineKind& kind, Millis now) const;
-    // A machine of the kind has gone: its place at the cloud is free again.
+    /// Has the cloud just said that it has none of this kind?
+    [[nodiscard]] bool is_backing_off(const MachineKind& kind, Millis now) const;
+    /// A machine of the kind has gone, so the cloud has one again: ends the back-off.
     void on_machine_freed(const MachineKind& kind);
 
-    // The name of a new request; empty when one for the kind is under way.
-    std::string start_request(std::uint64_t term, std::uint64_t fence, const MachineKind& kind,
-                              std::uint32_t count);
-    // One that an earlier term has on record: it may have been sent, and may be executed yet.
+    /// Starts a request for so many machines.
+    /// @param term, fence the term and the fence of the scale-out role: they make the name unique
+    /// @return its name; empty if one of this term for the kind is under way
+    [[nodiscard]] std::string start_request(std::uint64_t term, std::uint64_t fence,
+                                            const MachineKind& kind, std::uint32_t count);
+    /// Takes over a request that an earlier term has on record: it may have been sent, and may be
+    /// executed yet.
     void inherit_request(const std::string& request, const MachineKind& kind, std::uint32_t count);
     void on_sent(const std::string& request);
-    void withdraw_request(const std::string& request) {
-        requests_.erase(request);
-    }  // nothing was sent
-    // Is it settled by this?
+    /// Forgets a request of which nothing was sent.
+    void withdraw_request(const std::string& request) { requests_.erase(request); }
+    /// @return true if the request is settled by this reply (or unknown here), false if it is to be
+    /// repeated.
     bool on_reply(const std::string& request, const ProvisionReply& reply, Millis now);
-    // To be asked again now.
-    std::vector<std::string> due_retries(Millis now) const;
-    // Those of this term: what is inherited has been counted before.
-    std::size_t own_request_count() const;
-    const std::map<std::string, Request>& requests() const { return requests_; }
+    /// The requests that are to be repeated now.
+    [[nodiscard]] std::vector<std::string> due_retries(Millis now) const;
+    /// How many requests of this term are under way: inherited ones were counted before.
+    [[nodiscard]] std::size_t own_request_count() const;
+    /// Every request under way, by name.
+    [[nodiscard]] const std::map<std::string, Request>& requests() const { return requests_; }
 
   private:
     struct Backoff {
         Millis blocked_until = 0;
-        std::uint32_t refusal_count = 0;
+        std::uint32_t refusal_count = 0;  // in a row
     };
-    static void set_state(Request& request, ProvisioningState state) { request.state = state; }
     static void increase_backoff(Backoff& backoff, Millis first, Millis now);
+    static void apply_result(Backoff& backoff, const Request& request, const ProvisionReply& reply,
+                             Millis now);
 
     std::map<MachineKind, Backoff> backoffs_;
     std::map<std::string, Request> requests_;
