--- a/tests/dependency_automata_test.cpp
+++ b/tests/dependency_automata_test.cpp
@@ -1,4 +1,4 @@
-// The pathset search against a slow plain model that tries every computation.
+// The pathset search is compared with a slow model that tries every possible sequence of events.
 #include "dependencies/dependency_automata.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
     std::size_t e1, e2;
 };
 
-// The model keeps what happened as one sequence and judges it from the definitions.
+// Keeps what has occurred as one sequence and judges it by the definitions of the dependencies.
 struct Model {
     std::vector<Attributes> attributes;
     std::vector<bool> submitted, never;
@@ -32,9 +32,9 @@
     bool occurred(std::size_t e, const std::vector<std::size_t>& h) const {
         return std::find(h.begin(), h.end(), e) != h.end();
     }
-    // Does the sequence, with these events out for good, satisfy every dependency, now and whatever
-    // comes that nobody can prevent?
-    bool fine(const std::vector<std::size_t>& h, const std::vector<bool>& out) const {
+    // Does the sequence, with the excluded events, satisfy every dependency, now and whatever facts
+    // may come?
+    bool satisfies_all(const std::vector<std::size_t>& h, const std::vector<bool>& out) const {
         for (const Dependency& d : dependencies) {
             bool has1 = occurred(d.e1, h), has2 = occurred(d.e2, h);
             if (d.kind == DependencyAutomata::Kind::existence) {
@@ -48,8 +48,8 @@
                 return false;
             }
             if (has2 && !occurred(d.e2, history) && !has1 && !out[d.e1]) {
-                // e1 must stay away: it must be possible to turn it down, and if it has been
-                // submitted it must have been.
+                // e1 must not occur any more: it must be rejectable, and rejected if it has been
+                // submitted.
                 if (!attributes[d.e1].rejectable || submitted[d.e1]) return false;
             }
         }
@@ -71,13 +71,13 @@
         for (std::size_t e : history) out += " " + std::to_string(e);
         return out;
     }
-    // Is there any way to accept e now?
+    // Is there any way to accept the event now?
     bool possible(std::size_t e) const {
         std::vector<std::size_t> open;
         for (std::size_t i = 0; i < attributes.size(); ++i) {
             if (i != e && !never[i] && !occurred(i, history)) open.push_back(i);
         }
-        // Each open event: left alone, accepted, or turned down.
+        // Each open event is left alone, accepted or rejected.
         std::size_t ways = 1;
         for (std::size_t i = 0; i < open.size(); ++i) ways *= 3;
         for (std::size_t w = 0; w < ways; ++w) {
@@ -101,7 +101,7 @@
             do {
                 auto h = history;
                 h.insert(h.end(), accept.begin(), accept.end());
-                if (fine(h, out)) return true;
+                if (satisfies_all(h, out)) return true;
             } while (std::next_permutation(accept.begin(), accept.end()));
         }
         return false;
@@ -112,7 +112,7 @@
     std::minstd_rand random(7);
     int accepted = 0, pending = 0, rejected = 0, facts = 0;
     for (int round = 0; round < 3000; ++round) {
-        DependencyAutomata links;
+        DependencyAutomata automata;
         Model model;
         std::vector<Event> events;
         std::size_t n = 2 + random() % 4;
@@ -120,7 +120,7 @@
             Attributes a{random() % 4 == 0, random() % 2 == 0, true};
             if (random() % 4 == 0) a = {};  // a fact
             model.attributes.push_back(a);
-            events.push_back(links.add_event(a));
+            events.push_back(automata.add_event(a));
         }
         model.submitted.assign(n, false);
         model.never.assign(n, false);
@@ -131,7 +131,7 @@
                          random() % n, random() % n};
             if (d.e1 == d.e2) continue;
             model.dependencies.push_back(d);
-            links.add(d.kind, events[d.e1], events[d.e2]);
+            automata.add(d.kind, events[d.e1], events[d.e2]);
         }
         bool violated = false;
         for (int step = 0; step < 8 && !violated; ++step) {
@@ -139,12 +139,12 @@
             if (model.submitted[e] || model.never[e] || model.occurred(e, model.history)) continue;
             SubmitOutcome out;
             if (random() % 6 == 0) {
-                out = links.terminate(events[e]);
+                out = automata.terminate(events[e]);
                 model.never[e] = true;
             } else {
                 model.submitted[e] = true;
                 bool possible = model.possible(e);
-                out = links.submit(events[e]);
+                out = automata.submit(events[e]);
                 bool fact = !model.attributes[e].delayable && !model.attributes[e].rejectable;
                 bool took = !out.accepted.empty() &&
                             std::find(out.accepted.begin(), out.accepted.end(), events[e]) !=
@@ -203,13 +203,13 @@
 
 // The paper's example (5.5): with e1 < e2 and e1 -> e2, e1 waits until e2 comes; then both happen.
 TEST(DependencyAutomata, ThePapersExample) {
-    DependencyAutomata links;
+    DependencyAutomata automata;
     Attributes a{.rejectable = true, .delayable = true};
-    Event e1 = links.add_event(a), e2 = links.add_event(a);
-    links.add(DependencyAutomata::Kind::order, e1, e2);
-    links.add(DependencyAutomata::Kind::existence, e1, e2);
-    EXPECT_EQ(links.submit(e1).result, SubmitResult::pending);
-    SubmitOutcome out = links.submit(e2);
+    Event e1 = automata.add_event(a), e2 = automata.add_event(a);
+    automata.add(DependencyAutomata::Kind::order, e1, e2);
+    automata.add(DependencyAutomata::Kind::existence, e1, e2);
+    EXPECT_EQ(automata.submit(e1).result, SubmitResult::pending);
+    SubmitOutcome out = automata.submit(e2);
     EXPECT_EQ(out.result, SubmitResult::accepted);
     ASSERT_EQ(out.accepted.size(), 2u);
     EXPECT_EQ(out.accepted[0], e1);
@@ -218,58 +218,59 @@
 
 // B waits for A: start(B) -> done(A), done(A) < start(B); failed(A) forces cancelled(B).
 TEST(DependencyAutomata, APipelineOfTwoJobs) {
-    DependencyAutomata links;
-    Event done_a = links.add_event({}), failed_a = links.add_event({});
-    Event start_b = links.add_event({.rejectable = true, .delayable = true});
-    Event cancelled_b = links.add_event({.forcible = true});
-    links.add(DependencyAutomata::Kind::existence, start_b, done_a);
-    links.add(DependencyAutomata::Kind::order, done_a, start_b);
-    links.add(DependencyAutomata::Kind::existence, failed_a, cancelled_b);
-    links.add(DependencyAutomata::Kind::order, start_b, cancelled_b);
-    EXPECT_EQ(links.submit(start_b).result, SubmitResult::pending);
-    SubmitOutcome out = links.submit(failed_a);
-    EXPECT_EQ(links.status(cancelled_b), EventStatus::occurred);
-    EXPECT_EQ(links.status(start_b), EventStatus::excluded);
+    DependencyAutomata automata;
+    Event done_a = automata.add_event({}), failed_a = automata.add_event({});
+    Event start_b = automata.add_event({.rejectable = true, .delayable = true});
+    Event cancelled_b = automata.add_event({.forcible = true});
+    automata.add(DependencyAutomata::Kind::existence, start_b, done_a);
+    automata.add(DependencyAutomata::Kind::order, done_a, start_b);
+    automata.add(DependencyAutomata::Kind::existence, failed_a, cancelled_b);
+    automata.add(DependencyAutomata::Kind::order, start_b, cancelled_b);
+    EXPECT_EQ(automata.submit(start_b).result, SubmitResult::pending);
+    SubmitOutcome out = automata.submit(failed_a);
+    EXPECT_EQ(automata.status(cancelled_b), EventStatus::occurred);
+    EXPECT_EQ(automata.status(start_b), EventStatus::excluded);
     EXPECT_EQ(out.rejected, std::vector<Event>{start_b});
 }
 
 TEST(DependencyAutomata, PendingEventsAreRetriedInTheOrderOfArrival) {
-    DependencyAutomata links;
+    DependencyAutomata automata;
     Attributes a{.rejectable = true, .delayable = true};
-    Event gone = links.add_event({});
-    Event first = links.add_event(a), second = links.add_event(a);
+    Event gone = automata.add_event({});
+    Event first = automata.add_event(a), second = automata.add_event(a);
     for (Event event : {second, first}) {
-        links.add(DependencyAutomata::Kind::existence, event, gone);
-        links.add(DependencyAutomata::Kind::order, gone, event);
+        automata.add(DependencyAutomata::Kind::existence, event, gone);
+        automata.add(DependencyAutomata::Kind::order, gone, event);
     }
-    links.submit(first);
-    links.submit(second);
-    SubmitOutcome out = links.submit(gone);
+    automata.submit(first);
+    automata.submit(second);
+    SubmitOutcome out = automata.submit(gone);
     EXPECT_EQ(out.accepted, (std::vector<Event>{gone, first, second}));
 }
 
-// Guards against forcing what need not be: a job was once cancelled by its own first start.
+// Guards against forcing events needlessly: a job was once cancelled by its own first start.
 TEST(DependencyAutomata, AStartForcesNothing) {
-    DependencyAutomata links;
-    Event start = links.add_event({.rejectable = true, .delayable = true});
-    Event cancelled = links.add_event({.forcible = true});
-    links.add(DependencyAutomata::Kind::order, start, cancelled);
-    EXPECT_EQ(links.submit(start).result, SubmitResult::accepted);
-    EXPECT_EQ(links.status(cancelled), EventStatus::open);
+    DependencyAutomata automata;
+    Event start = automata.add_event({.rejectable = true, .delayable = true});
+    Event cancelled = automata.add_event({.forcible = true});
+    automata.add(DependencyAutomata::Kind::order, start, cancelled);
+    EXPECT_EQ(automata.submit(start).result, SubmitResult::accepted);
+    EXPECT_EQ(automata.status(cancelled), EventStatus::open);
 }
 
 TEST(DependencyAutomata, AutomataAreRemovedWithTheirEvents) {
-    DependencyAutomata links;
-    Event a = links.add_event({.rejectable = true, .delayable = true}), b = links.add_event({});
-    links.add(DependencyAutomata::Kind::existence, a, b);
-    EXPECT_EQ(links.submit(a).result, SubmitResult::pending);
-    links.remove_event(b);
-    EXPECT_EQ(links.automaton_count(), 0u);
-    EXPECT_EQ(links.submit(a).result, SubmitResult::accepted);
+    DependencyAutomata automata;
+    Event a = automata.add_event({.rejectable = true, .delayable = true}),
+          b = automata.add_event({});
+    automata.add(DependencyAutomata::Kind::existence, a, b);
+    EXPECT_EQ(automata.submit(a).result, SubmitResult::pending);
+    automata.remove_event(b);
+    EXPECT_EQ(automata.automaton_count(), 0u);
+    EXPECT_EQ(automata.submit(a).result, SubmitResult::accepted);
     bool violated = false;
-    Event c = links.add_event({});
-    links.terminate(c);
-    links.add(DependencyAutomata::Kind::existence, a, c, &violated);
+    Event c = automata.add_event({});
+    automata.terminate(c);
+    automata.add(DependencyAutomata::Kind::existence, a, c, &violated);
     EXPECT_TRUE(violated);  // added too late to be enforced
 }
 
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -1,5 +1,5 @@
-// Drain plans: random fleets against what any plan must keep to, the hard cases one by one, and the
-// calls of the administration API.
+// Drain plans: properties of every plan over random clusters, the hard cases one by one, and the
+// requests of the administration API.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -38,7 +38,7 @@
         test_trace().add(now, "plan", drain::plan_json(*planner.find(r->id)));
         return *planner.find(r->id);
     }
-    // All of it runs.
+    // Places the job and reports all its tasks as running.
     void run(Job& job, Millis now) {
         scheduler.place_job(job, now);
         for (const auto& attempt : job.attempts) {
@@ -59,9 +59,9 @@
     return spec;
 }
 
-// Whatever the fleet: each task that leaves is named once, its place is another machine that it may
-// use and that has room for all that the plan sends there, scatter and one_zone hold, waves are as
-// small as asked, and the book is left as it was.
+// In any cluster: each task that leaves is named once, its target is another machine that it may
+// use and that has room for all that the plan sends there, spread and one_zone hold, waves are as
+// small as asked, and the cluster state is left as it was.
 TEST(Drain, EveryPlanFollowsThePlacementRules) {
     EXPECT_TRUE(rc::check([] {
         Planned p;
@@ -153,14 +153,14 @@
             RC_ASSERT(machine->cpus_free == before[i++]);
         RC_ASSERT(p.gateway.commits.empty() && p.gateway.provision_calls.empty() &&
                   p.gateway.release_calls.empty());
-        // For its trace: a plan when all that was forecast is past.
+        // For its trace: a plan after everything that was forecast.
         request["id"] = "up-2";
         p.plan(request, 60'000);
     }));
 }
 
-// The timetable fit that is due at dawn: in time if it is left alone, late if it must wait for a
-// machine to boot. The plan says so, and what would do.
+// A gang with a deadline: in time if it is left alone, late if it must wait for a machine to boot.
+// The plan says so, and what would help.
 TEST(Drain, AMovePastItsDeadlineIsReportedWithTheReason) {
     Planned p;
     p.add_ready_machine("gpu3", "g4", "a");
@@ -199,7 +199,7 @@
     EXPECT_EQ(plan.state, PlanState::ready);
 }
 
-// A job that is being cancelled needs no place elsewhere.
+// A job that is being cancelled needs no slot elsewhere.
 TEST(Drain, TasksBeingStoppedAreNotPlacedAgain) {
     Planned p;
     Machine& machine = p.add_ready_machine("m-1", "g4", "a");
@@ -237,7 +237,7 @@
     std::string error;
     auto r = drain::parse_request({{"id", "d"}, {"machines", {"m-0", "m-1", "m-2", "m-3"}}}, error);
     ASSERT_EQ(p.planner.request_plan(*r), Planner::RequestResult::accepted);
-    p.cluster.machine_gone(gone, 1100);  // between two turns
+    p.cluster.machine_gone(gone, 1100);  // between two calls
     p.planner.advance(1200);
     const drain::Plan& plan = *p.planner.find("d");
     EXPECT_EQ(plan.state, PlanState::ready);
@@ -248,7 +248,7 @@
                   "m-2: it goes back to the cloud already", "m-3: it has gone meanwhile"}));
 }
 
-// A turn looks at a bounded number of tasks, however large the fleet.
+// Each call of advance() looks at a bounded number of tasks, however large the cluster.
 TEST(Drain, WorkPerTurnIsBounded) {
     Planned p;
     for (int n = 0; n < 200; ++n) p.add_ready_machine("m-" + std::to_string(n), "plain", "a");
--- a/tests/machine_types_test.cpp
+++ b/tests/machine_types_test.cpp
@@ -1,4 +1,5 @@
-// Machines of several types and prices: where work is placed, what moves, what is left to others.
+// Machines of several types and prices: where tasks are placed, which replicas move, and which
+// capacity is kept for other work.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -47,8 +48,8 @@
         {"n", 2, 0, 32, 50, 1, 0.88, 0.32, 25, {"a"}}, false, need)));
 }
 
-// Replicas without GPUs were put beside gangs, where a machine seemed fullest, and kept it rented
-// for good when the gang had gone: half of a day's money.
+// Replicas without GPUs were once placed beside gangs, where a machine seemed fullest, and kept the
+// GPU machine when the gang had ended: half of a day's cost.
 TEST(MachineTypes, ReplicasWithoutGpusDoNotHoldGpuMachines) {
     test::ClusterSimulation simulation(400, {}, 0,
                                        {type("plain", 8, 0, 0.5), type("gpu", 16, 4, 10)});
@@ -61,18 +62,18 @@
     }
     simulation.run_until(120'000);
     std::size_t plain = 0;
-    for (const auto& [index, m] : machines_of(simulation)) {
-        if (m->live_gang_and_service_attempts == m->live_gang_attempts) continue;
-        EXPECT_DOUBLE_EQ(m->cpus_free + m->gang_and_service_cpus, 8)
-            << m->name << " holds replicas";
+    for (const auto& [index, machine] : machines_of(simulation)) {
+        if (machine->live_gang_and_service_attempts == machine->live_gang_attempts) continue;
+        EXPECT_DOUBLE_EQ(machine->cpus_free + machine->gang_and_service_cpus, 8)
+            << machine->name << " holds replicas";
         ++plain;
     }
     EXPECT_GT(plain, 0u);
     EXPECT_EQ(simulation.final_state("job-1"), "done");
 }
 
-// Two machines of different zones were emptied in one pass and both plans counted the same free
-// place: the second one's replica had none and waited for a boot.
+// Two machines of different zones were once emptied in one pass, and the same free slot was counted
+// for both: the second one's replica had none and waited for a boot.
 TEST(MachineTypes, MachinesAreNotDrainedOntoTheSameSlots) {
     test::ClusterSimulation simulation(402, {}, 0, {type("g4", 16, 4, 10)});
     simulation.leader()->set_options(without_margins());
@@ -81,25 +82,25 @@
     }
     simulation.run_until(90'000);
     std::map<Index, std::set<std::string>> jobs_on;
-    for (const auto& [id, j] : simulation.leader()->open_jobs()) {
-        for (const auto& attempt : j->attempts) {
+    for (const auto& [id, open_job] : simulation.leader()->open_jobs()) {
+        for (const auto& attempt : open_job->attempts) {
             if (attempt->live()) jobs_on[attempt->machine].insert(id);
         }
     }
     ASSERT_EQ(jobs_on.size(), 3u);
-    // The one that stays is of the zone that has two.
+    // The machine that stays is in the zone that has two.
     const auto machines = machines_of(simulation);
     std::map<Index, int> in_zone;
-    for (const auto& [m, ids] : jobs_on) ++in_zone[machines.at(m)->zone];
+    for (const auto& [index, ids] : jobs_on) ++in_zone[machines.at(index)->zone];
     ASSERT_EQ(in_zone.size(), 2u);
     Index stays = kNone;
-    for (const auto& [m, ids] : jobs_on) {
-        if (in_zone[machines.at(m)->zone] == 2) stays = m;
+    for (const auto& [index, ids] : jobs_on) {
+        if (in_zone[machines.at(index)->zone] == 2) stays = index;
     }
     std::set<std::string> left;
-    for (const auto& [m, ids] : jobs_on) {
+    for (const auto& [index, ids] : jobs_on) {
         ASSERT_EQ(ids.size(), 4u);
-        std::size_t keep = m == stays ? 3 : 1;
+        std::size_t keep = index == stays ? 3 : 1;
         for (const std::string& id : ids) {
             if (keep > 0) {
                 --keep;
@@ -122,16 +123,16 @@
     }
 }
 
-// Urgent arrays once waited for room that was made on machines where they are not placed.
+// Tasks were once preempted for urgent arrays on machines where such arrays are not placed.
 TEST(MachineTypes, PreemptionHappensOnlyWhereTheJobMayRun) {
     test::ClusterSimulation simulation(610, {}, 0,
                                        {type("plain", 16, 0, 1), type("gpu", 16, 4, 10)});
     simulation.leader()->set_options(without_margins());
     for (int n = 0; n < 6; ++n) {
-        auto j = test::job("job-" + std::to_string(n), "sweep", 60, 1);
-        j["urgency"] = "best_effort";
-        j["crew"] = n % 2 == 0 ? "red" : "blue";
-        simulation.submit(j);
+        auto array = test::job("job-" + std::to_string(n), "sweep", 60, 1);
+        array["urgency"] = "best_effort";
+        array["crew"] = n % 2 == 0 ? "red" : "blue";
+        simulation.submit(array);
     }
     simulation.run_until(40'000);
     ASSERT_GT(simulation.running_tasks("a") + simulation.running_tasks("b"), 8u);
@@ -146,47 +147,47 @@
     EXPECT_EQ(simulation.final_state("job-100"), "done");
 }
 
-// With few calls at the cloud, what production needs is asked for first, whoever came first.
+// The cloud takes few requests: what production needs is asked for first, whichever job came first.
 TEST(MachineTypes, MachinesAreProvisionedForTheMostUrgentWorkFirst) {
     test::ClusterSimulation simulation(611, {}, 0,
                                        {type("plain", 16, 0, 1), type("gpu", 16, 4, 10)});
     simulation.submit(test::job("job-1", "sweep", 40, 0));
     auto replicas = test::job("job-2", "standing", 2, 1);
     simulation.submit(replicas);
-    simulation.fail_over();  // both are known when the first plan is made
+    simulation.fail_over();  // both jobs are known when the first scale-out plan is made
     simulation.run_until(1'500);
     ASSERT_GE(simulation.provisioned_types().size(), 2u);
     EXPECT_EQ(simulation.provisioned_types().front(), "gpu");
 }
 
-// What the cloud refuses is asked again after 5 to 20 s, or at once where a machine has gone; other
-// zones and kinds are not minded, and a name is never used twice.
+// A kind that the cloud has refused is asked for again after 5 to 20 s, or as soon as a machine of
+// it has gone; other kinds and zones do not back off, and a request's name is never used twice.
 TEST(MachineTypes, ProvisioningBackoffIsPerMachineKind) {
     using Result = cloud::ProvisionReply::Result;
-    cloud::ProvisioningTracker m;
+    cloud::ProvisioningTracker tracker;
     const cloud::MachineKind spot{0, 1, true}, ordinary{0, 1, false};
     Millis now = 1'000;
     std::set<std::string> names;
     for (Millis wait : {5'000, 10'000, 20'000, 20'000}) {
-        ASSERT_FALSE(m.is_backing_off(spot, now));
-        const std::string name = m.start_request(3, 9, spot, 4);
+        ASSERT_FALSE(tracker.is_backing_off(spot, now));
+        const std::string name = tracker.start_request(3, 9, spot, 4);
         EXPECT_TRUE(names.insert(name).second);
-        EXPECT_EQ(m.start_request(3, 9, spot, 1), "");          // one question at a time
-        m.on_reply(name, {Result::provisioned, {"i-1"}}, now);  // fewer than asked for
-        EXPECT_TRUE(m.requests().empty());
-        EXPECT_TRUE(m.is_backing_off(spot, now + wait - 1));
-        EXPECT_FALSE(m.is_backing_off(ordinary, now));
+        EXPECT_EQ(tracker.start_request(3, 9, spot, 1), "");          // one request at a time
+        tracker.on_reply(name, {Result::provisioned, {"i-1"}}, now);  // fewer than asked for
+        EXPECT_TRUE(tracker.requests().empty());
+        EXPECT_TRUE(tracker.is_backing_off(spot, now + wait - 1));
+        EXPECT_FALSE(tracker.is_backing_off(ordinary, now));
         now += wait;
     }
-    m.on_reply(m.start_request(3, 9, spot, 1), {Result::no_capacity, {}}, now);
-    ASSERT_TRUE(m.is_backing_off(spot, now + 1));
-    m.on_machine_freed(spot);
-    EXPECT_FALSE(m.is_backing_off(spot, now + 1));
-    m.on_reply(m.start_request(3, 9, spot, 1), {Result::rejected, {}}, now);
-    EXPECT_TRUE(m.is_backing_off(spot, now + 1'400));
-    EXPECT_FALSE(m.is_backing_off(spot, now + 1'500));
-    m.on_reply("t3-99", {Result::malformed, {}}, now);  // of no request
-    EXPECT_FALSE(m.is_backing_off(spot, now + 1'500));
+    tracker.on_reply(tracker.start_request(3, 9, spot, 1), {Result::no_capacity, {}}, now);
+    ASSERT_TRUE(tracker.is_backing_off(spot, now + 1));
+    tracker.on_machine_freed(spot);
+    EXPECT_FALSE(tracker.is_backing_off(spot, now + 1));
+    tracker.on_reply(tracker.start_request(3, 9, spot, 1), {Result::rejected, {}}, now);
+    EXPECT_TRUE(tracker.is_backing_off(spot, now + 1'400));
+    EXPECT_FALSE(tracker.is_backing_off(spot, now + 1'500));
+    tracker.on_reply("t3-99", {Result::malformed, {}}, now);  // no such request
+    EXPECT_FALSE(tracker.is_backing_off(spot, now + 1'500));
 }
 
 }  // namespace
--- a/tests/waiting_jobs_test.cpp
+++ b/tests/waiting_jobs_test.cpp
@@ -1,5 +1,6 @@
-// Once the troubles are over, no job is left waiting for 90 s while a machine that fits has room
-// and its team is under its limit (docs/design/waiting.md). The world says what would fit.
+// Once the faults are over, no job is left waiting for 90 s while a machine that fits has free
+// capacity and its team is below its quota (docs/design/waiting.md). The simulation says what would
+// fit.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
@@ -11,30 +12,30 @@
 using test::Faults;
 using test::job;
 
-constexpr Millis kLongest = 90'000;
+constexpr Millis kMaxWait = 90'000;
 
-Faults full() {
+Faults no_capacity() {
     Faults faults;
-    faults.refused_provisioning = 1;  // nothing new can be rented
+    faults.refused_provisioning = 1;  // no machine can be provisioned
     return faults;
 }
 
-// A day of two kinds of trouble, with all shapes of jobs; then all of it is over, and half of the
-// days the cloud is full by then.
-Millis day(std::uint64_t seed) {
+// Runs jobs of all shapes under two kinds of faults, then ends the faults; with every other seed
+// the cloud has no capacity from then on. Returns the longest wait.
+Millis longest_wait_after_faults(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
-    auto upto = [&](Millis most) { return static_cast<Millis>(random() % most); };
+    auto below = [&](Millis most) { return static_cast<Millis>(random() % most); };
     Faults faults;
-    bool spoilt = false, deaf = false, cut = false;
+    bool jobs_fail = false, one_way_partitions = false, partitions = false;
     for (std::uint64_t kind : {seed % 8, seed / 8 % 8}) {
         if (kind == 0) faults.faulty_machines = 0.6;
-        if (kind == 1) spoilt = true;
+        if (kind == 1) jobs_fail = true;
         if (kind == 2)
             faults.refused_provisioning = 0.5, faults.unknown_commits = 0.2,
             faults.late_cloud_calls = 0.2;
-        if (kind == 3) deaf = true;
-        if (kind == 4) cut = true;
+        if (kind == 3) one_way_partitions = true;
+        if (kind == 4) partitions = true;
         if (kind == 5)
             faults.holder_failures_per_s = 0.03, faults.lost_peer_messages = 0.3,
             faults.lost_shard_grants = 0.3;
@@ -62,34 +63,34 @@
         if (random() % 3 == 0) spec["standby"] = true;
         if (random() % 4 == 0 && spec["legs"] != 5) spec["rigs"] = wire::Json::array({"g4"});
         if (random() % 6 == 0) spec["urgency"] = "best_effort";
-        if (spoilt && jobs % 3 == 1) simulation.make_job_fail(id);
+        if (jobs_fail && jobs % 3 == 1) simulation.make_job_fail(id);
         simulation.submit(spec);
         ++jobs;
     };
-    const Millis end = 120'000 + upto(120'000);
+    const Millis end = 120'000 + below(120'000);
     while (simulation.now() < end && !testing::Test::HasFailure()) {
         submit();
-        if (random() % 4 == 0) simulation.cancel("job-" + std::to_string(upto(jobs)));
+        if (random() % 4 == 0) simulation.cancel("job-" + std::to_string(below(jobs)));
         const auto names = simulation.working_machines();
-        if (deaf && !names.empty() && random() % 2 == 0) {
-            const std::string& name = names[upto(static_cast<Millis>(names.size()))];
-            const Millis until = std::min(end, simulation.now() + 5'000 + upto(60'000));
+        if (one_way_partitions && !names.empty() && random() % 2 == 0) {
+            const std::string& name = names[below(static_cast<Millis>(names.size()))];
+            const Millis until = std::min(end, simulation.now() + 5'000 + below(60'000));
             random() % 2 == 0 ? simulation.block_inbound(name, until)
                               : simulation.block_commands(name, until);
         }
-        if (cut && random() % 4 == 0) {
+        if (partitions && random() % 4 == 0) {
             simulation.partition({random() % 2 == 0 ? "a" : "b",
-                                  0.3 + 0.35 * static_cast<double>(upto(3)), random() % 2 == 0,
+                                  0.3 + 0.35 * static_cast<double>(below(3)), random() % 2 == 0,
                                   random() % 2 == 0, false, simulation.now(),
-                                  std::min(end, simulation.now() + 5'000 + upto(50'000))});
+                                  std::min(end, simulation.now() + 5'000 + below(50'000))});
         }
-        simulation.run_until(simulation.now() + 2'000 + upto(12'000));
+        simulation.run_until(simulation.now() + 2'000 + below(12'000));
     }
     if (seed % 5 == 0) simulation.fail_over();
     simulation.clear_faults();
     simulation.repair_faulty_machines();
-    if (seed % 2 == 0) simulation.set_faults(full());
-    simulation.expect_wait_below(kLongest);
+    if (seed % 2 == 0) simulation.set_faults(no_capacity());
+    simulation.expect_wait_below(kMaxWait);
     for (int n = 0; n < 12 && !testing::Test::HasFailure(); ++n) {
         if (n % 3 == 0) submit();
         simulation.run_until(simulation.now() + 20'000);
@@ -101,12 +102,12 @@
     std::size_t waited = 0;
     Millis longest = 0;
     for (std::uint64_t seed = 1; seed <= 64 && !HasFailure(); ++seed) {
-        const Millis wait = day(seed);
+        const Millis wait = longest_wait_after_faults(seed);
         waited += wait > 5'000 ? 1 : 0;
         longest = std::max(longest, wait);
     }
     EXPECT_GT(waited, 15u);
-    EXPECT_LT(longest, kLongest);
+    EXPECT_LT(longest, kMaxWait);
 }
 
 // All machines fail what is put on them, again and again, until they are repaired.
@@ -122,16 +123,16 @@
             EXPECT_GT(j->backoff_count, 4u);
         simulation.clear_faults();
         simulation.repair_faulty_machines();
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         const Millis from = simulation.now();
         while (simulation.final_state("job-0").empty() && simulation.now() < from + 200'000 &&
                !HasFailure())
             simulation.run_until(simulation.now() + 1'000);
-        EXPECT_LT(simulation.now() - from, kLongest);
+        EXPECT_LT(simulation.now() - from, kMaxWait);
     }
 }
 
-// A job with a mistake and one without want the only place there is.
+// A job that always fails and one that does not want the only slot that there is.
 TEST(WaitingJobs, AFaultyJobLeavesTheOnlySlotToOthers) {
     for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -143,60 +144,61 @@
         simulation.make_job_fail("job-0");
         simulation.submit(stays);
         simulation.run_until(35'000);
-        simulation.set_faults(full());
+        simulation.set_faults(no_capacity());
         simulation.submit(bad);
         simulation.run_until(36'000);
         simulation.submit(good);
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         simulation.run_until(240'000);
         EXPECT_EQ(simulation.final_state("job-1"), "done")
             << simulation.describe_running() << simulation.describe_cluster_state();
     }
 }
 
-// Room that is kept for other work while the cloud answers nobody: blank machines for a gang that
-// its team's limit keeps waiting; a type that some work has no choice but to use.
+// Capacity that is kept for other work while the cloud answers nobody: empty machines for a gang
+// that its team's quota keeps waiting; a type that some work has no choice but to use.
 TEST(WaitingJobs, WithheldCapacityIsNotWithheldForever) {
     for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
-        const bool blank = seed % 2 == 0;
+        const bool kept_for_gang = seed % 2 == 0;
         ClusterSimulation simulation(
             seed, {}, 0,
-            {{"g4", 16, 4, 64, 50, 1, blank ? 10.0 : 20.0, 4, 10, {"a", "b"}},
+            {{"g4", 16, 4, 64, 50, 1, kept_for_gang ? 10.0 : 20.0, 4, 10, {"a", "b"}},
              {"g2", 8, 2, 32, 50, 1, 6, 3, 10, {"a"}}});
         wire::Json stays = job("job-0", "standing", 3, 2), gang = job("job-1", "ensemble", 3, 4);
-        wire::Json other = job("job-2", "ensemble", 4, 4);  // leaves blank machines behind
+        wire::Json other = job("job-2", "ensemble", 4, 4);  // leaves empty machines behind
         stays["yard"] = "a";
         other["crew"] = "blue";
         gang["rigs"] = other["rigs"] = wire::Json::array({"g4"});
-        if (blank) simulation.submit(stays);
+        if (kept_for_gang) simulation.submit(stays);
         simulation.submit(other);
         while (simulation.final_state("job-2").empty() && simulation.now() < 120'000)
             simulation.run_until(simulation.now() + 100);
         Faults faults;
         faults.cloud_down = true;
         simulation.set_faults(faults);
-        if (blank) simulation.submit(gang);  // six of the team's twelve are in use
+        if (kept_for_gang) simulation.submit(gang);  // six of the team's twelve gpus are in use
         simulation.run_until(simulation.now() + 1'000);
         wire::Json array = job("job-3", "sweep", 1, 1);
-        array["standby"] = blank;
-        if (blank) array["yard"] = "b";
+        array["standby"] = kept_for_gang;
+        if (kept_for_gang) array["yard"] = "b";
         simulation.submit(array);
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         simulation.run_until(simulation.now() + 110'000);
         EXPECT_EQ(simulation.final_state("job-3"), "done")
             << simulation.describe_running() << simulation.describe_cluster_state();
-        EXPECT_GT(simulation.longest_wait(), 50'000) << blank;  // it was kept until then
+        EXPECT_GT(simulation.longest_wait(), 50'000)
+            << kept_for_gang;  // it was withheld until then
     }
 }
 
-// Grants do not arrive, so the holder of a block never hears of a job that it was given.
+// Shard grants are lost, so the holder never learns of a job that was delegated to it.
 TEST(WaitingJobs, AJobItsHolderNeverReceivedIsReclaimed) {
     std::size_t lost = 0;
     for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ClusterSimulation simulation(seed, {}, 2);
-        simulation.submit(job("job-0", "ensemble", 4, 2));  // leaves machines to lend
+        simulation.submit(job("job-0", "ensemble", 4, 2));  // leaves machines for shards
         while (simulation.accepted_shard_grants() == 0 && simulation.now() < 200'000)
             simulation.run_until(simulation.now() + 200);
         Faults faults;
@@ -204,7 +206,7 @@
         simulation.set_faults(faults);
         for (int n = 1; n <= 4; ++n)
             simulation.submit(job("job-" + std::to_string(n), "sweep", 2, 1));
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         simulation.run_until(simulation.now() + 2'000);
         for (const auto& [id, j] : simulation.leader()->open_jobs())
             lost += j->delegated_shard != kNone ? 1 : 0;
@@ -216,7 +218,7 @@
     EXPECT_GT(lost, 6u);
 }
 
-// The only record of a task names a machine that went under the leader before this one.
+// The only record of a task names a machine that was lost under an earlier leader.
 TEST(WaitingJobs, TasksOfALongGoneMachineAreRestartedSoon) {
     for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -227,7 +229,7 @@
         simulation.submit(one);
         simulation.run_until(25'000);
         ASSERT_EQ(simulation.running_tasks("b"), 1u);
-        simulation.set_faults(full());
+        simulation.set_faults(no_capacity());
         simulation.preempt_zone("b");
         simulation.run_until(70'000);
         simulation.fail_over();
@@ -241,7 +243,7 @@
     }
 }
 
-// Half of a scattered gang fits, the other half nowhere: nothing is stopped or kept for it.
+// Half of a gang that is to be spread fits, the other half nowhere: nothing is stopped or reserved.
 TEST(WaitingJobs, NoCapacityIsReservedForHalfAGang) {
     for (std::uint64_t seed = 1; seed <= 4 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -256,17 +258,17 @@
         }
         simulation.run_until(45'000);
         ASSERT_EQ(simulation.running_tasks("a"), 4u);
-        simulation.set_faults(full());
+        simulation.set_faults(no_capacity());
         wire::Json gang = job("job-9", "ensemble", 3, 4);
         gang["scatter"] = true;
         simulation.submit(gang);
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         simulation.run_until(240'000);
         EXPECT_EQ(simulation.running_tasks("a"), 4u) << simulation.describe_running();
     }
 }
 
-// What its own team keeps free for a gang is not kept from the others for longer.
+// The quota that is reserved for a gang is withheld from its team's other jobs for a limited time.
 TEST(WaitingJobs, QuotaReservedForAGangIsNotReservedForever) {
     for (std::uint64_t seed = 1; seed <= 4 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -280,23 +282,23 @@
         simulation.run_until(182'000);
         ASSERT_EQ(simulation.leader()->open_jobs().at("job-1")->live_attempts, 0u);
         simulation.submit(job("job-2", "sweep", 1, 1));
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         const Millis from = simulation.now();
         while (simulation.final_state("job-2").empty() && simulation.now() < from + 120'000 &&
                !HasFailure())
             simulation.run_until(simulation.now() + 500);
-        EXPECT_GT(simulation.longest_wait(), 20'000);  // it was gathered
+        EXPECT_GT(simulation.longest_wait(), 20'000);  // the quota was reserved
         EXPECT_LT(simulation.longest_wait(), jobs::kMaxHoldBack + 10'000);
     }
 }
 
-// A holder's long job keeps its block, where others would fit that can't be lent.
+// A long job keeps its shard, where other jobs would fit that can't be delegated.
 TEST(WaitingJobs, AShardIsReclaimedWhenOthersNeedItsCapacity) {
     std::size_t kept = 0;
     for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ClusterSimulation simulation(seed, {}, 2);
-        simulation.submit(job("job-0", "ensemble", 4, 2));  // leaves machines to lend
+        simulation.submit(job("job-0", "ensemble", 4, 2));  // leaves machines for shards
         while (simulation.accepted_shard_grants() == 0 && simulation.now() < 200'000)
             simulation.run_until(simulation.now() + 200);
         simulation.set_task_duration("job-1", 900'000);
@@ -304,19 +306,19 @@
         simulation.run_until(simulation.now() + 8'000);
         if (simulation.leader()->open_jobs().at("job-1")->delegated_shard == kNone) continue;
         ++kept;
-        simulation.set_faults(full());
+        simulation.set_faults(no_capacity());
         for (int n = 2; n < 8; ++n) {
             wire::Json replica = job("job-" + std::to_string(n), "standing", 1, 2);
             if (n % 2 == 0) replica["crew"] = "blue";
             simulation.submit(replica);
         }
-        simulation.expect_wait_below(kLongest);
+        simulation.expect_wait_below(kMaxWait);
         simulation.run_until(simulation.now() + 150'000);
     }
     EXPECT_GT(kept, 4u);
 }
 
-// Very many machines of a kind have processors left and no memory; the one that fits is the last.
+// Very many machines of a kind have cpus left and no memory; the one that fits is found last.
 TEST(WaitingJobs, TheOnlyFittingMachineIsFoundAmongMany) {
     ClusterSimulation simulation(1, {}, 0, {{"m", 64, 0, 8, 50, 1, 10, 4, 10, {"a"}}});
     wire::Json many = job("job-0", "standing", 320, 0), one = job("job-1", "sweep", 1, 0);
@@ -325,7 +327,7 @@
     simulation.run_until(60'000);
     ASSERT_EQ(simulation.running_tasks("a"), 320u);
     simulation.submit(one);
-    simulation.expect_wait_below(kLongest);
+    simulation.expect_wait_below(kMaxWait);
     simulation.run_until(200'000);
     EXPECT_EQ(simulation.final_state("job-1"), "done");
 }
