--- a/src/forecast/demand_forecast.cpp
+++ b/src/forecast/demand_forecast.cpp
@@ -13,72 +13,87 @@
 using placement::Need;
 
 namespace {
-constexpr double kGangsSoonS = 20;
-// Blank machines kept for each one that waiting work needs, and zones that a gang may choose from.
-constexpr std::size_t kBlankEach = 2, kZones = 4;
-// Classes that leave ordinary machines of the type as a whole.
-auto whole_of(Index type) {
-    return [type](const auto& l) { return l.uses_whole_machine && !l.spot && l.type == type; };
+constexpr double kSoonS = 20;  // within this, empty machines are kept for whole-machine tasks
+constexpr std::size_t kEmptyPerTask = 2;        // machines kept for a whole-machine task that waits
+constexpr std::size_t kMaxZonesConsidered = 4;  // likewise, if it is of a gang bound to one zone
+constexpr std::uint32_t kMaxReplicaSlots = 1024;  // of a machine
+constexpr double kCompletionDecay = 0.97;         // of earlier completions, with each further one
+constexpr double kMinRunS = 1;
+
+// The classes that leave ordinary machines of the type as a whole.
+auto leaves_whole_machine(Index type) {
+    return [type](const ClassStatistics& statistics) {
+        return statistics.uses_whole_machine && !statistics.spot && statistics.type == type;
+    };
+}
+
+double mean_run_s(const ClassStatistics& statistics) {
+    return std::max(kMinRunS, statistics.observed_run_s / statistics.weight);
 }
 }  // namespace
 
 // How many machines' worth should be free now, so that what comes need not wait for a boot: what
 // arrives within one beyond what is left by then, and a margin, since both come in lumps.
 template <typename Leaves>
-double DemandForecast::wanted_ahead_of_need(forecast::ArrivalRate& arrivals, Index type,
-                                            Leaves leaves, double margin, Millis now) {
+double DemandForecast::wanted_ahead_of_need(ArrivalRate& arrivals, Index type, Leaves leaves,
+                                            double margin, Millis now) {
     const double boot_s = cluster_.types()[type].boot_s;
     double left = 0;
     for (const ClassStatistics& statistics : class_statistics_) {
         if (!leaves(statistics) || statistics.weight <= 0) continue;
-        left +=
-            statistics.machine_share *
-            std::min(1.0, boot_s / std::max(1.0, statistics.observed_run_s / statistics.weight));
+        left += statistics.machine_share * std::min(1.0, boot_s / mean_run_s(statistics));
     }
     return std::max(0.0, arrivals.expected_within(boot_s, now) - left) +
            margin * std::sqrt(2.0) * arrivals.deviation_within(boot_s, now);
 }
 
-// What its places cost on each kind of machine, and on which type least.
+// What the job's slots cost on each kind of machine, and on which type least.
 void DemandForecast::update_placement_costs(Job& job) {
-    Need need = placement::need_of(job);
+    const Need need = placement::need_of(job);
     double least = std::numeric_limits<double>::infinity();
-    for (Index t = 0; t < cluster_.types().size() && t < job.allowed_type.size(); ++t) {
-        job.places_on.push_back(placement::slots_on(cluster_.types()[t], need));
-        double ordinary = placement::hourly_cost_per_task(cluster_.types()[t], false, need);
-        job.relative_cost.push_back(
-            {ordinary, placement::hourly_cost_per_task(cluster_.types()[t], true, need)});
-        if (job.allowed_type[t] == 0 || ordinary >= least) continue;
+    for (Index index = 0; index < cluster_.types().size() && index < job.allowed_type.size();
+         ++index) {
+        const wire::MachineType& type = cluster_.types()[index];
+        job.places_on.push_back(placement::slots_on(type, need));
+        const double ordinary = placement::hourly_cost_per_task(type, false, need);
+        job.relative_cost.emplace_back(ordinary, placement::hourly_cost_per_task(type, true, need));
+        if (job.allowed_type[index] == 0 || ordinary >= least) continue;
         least = ordinary;
-        job.cheapest_type = t;
+        job.cheapest_type = index;
     }
     if (job.cheapest_type == kNone) return;
     for (auto& [ordinary, spot] : job.relative_cost) {
-        // Without prices nothing is dear.
+        // Without prices nothing is expensive.
         ordinary = least > 0 ? ordinary / least : 1;
         spot = least > 0 ? spot / least : 1;
     }
-    auto fits = [&](Index t) {
-        return job.allowed_type[t] != 0 && std::isfinite(job.relative_cost_of(t, false));
-    };
-    std::size_t fitting = 0;
-    for (Index t = 0; t < job.relative_cost.size(); ++t) fitting += fits(t) ? 1 : 0;
-    if (fitting == 1) mutable_demand(job.cheapest_type).required_by_some_work = true;
+    note_required_type(job);
     const wire::MachineType& type = cluster_.types()[job.cheapest_type];
     job.machine_share = job.spec.cpus / std::max(1.0, type.cpus);
     if (type.gpus > 0) job.machine_share = std::max(job.machine_share, job.spec.gpus / type.gpus);
 }
 
+// Notes the job's type if it fits no other.
+void DemandForecast::note_required_type(const Job& job) {
+    std::size_t fitting_types = 0;
+    for (Index type = 0; type < job.relative_cost.size(); ++type) {
+        const bool fits =
+            job.allowed_type[type] != 0 && std::isfinite(job.relative_cost_of(type, false));
+        fitting_types += fits ? 1 : 0;
+    }
+    if (fitting_types == 1) mutable_demand(job.cheapest_type).required_by_some_work = true;
+}
+
 void DemandForecast::record_replica_arrival(const Job& job) {
     replica_headroom_.arrivals.record(job.spec.tasks, job.accepted_at);
     Need need = placement::need_of(job);
     need = {std::max(need.cpus, replica_headroom_.need.cpus),
             std::max(need.gpus, replica_headroom_.need.gpus),
             std::max(need.memory_gb, replica_headroom_.need.memory_gb)};
-    bool same = replica_headroom_.type == job.cheapest_type &&
-                need.cpus == replica_headroom_.need.cpus &&
-                need.gpus == replica_headroom_.need.gpus &&
-                need.memory_gb == replica_headroom_.need.memory_gb;
+    const bool same = replica_headroom_.type == job.cheapest_type &&
+                      need.cpus == replica_headroom_.need.cpus &&
+                      need.gpus == replica_headroom_.need.gpus &&
+                      need.memory_gb == replica_headroom_.need.memory_gb;
     if (same) return;
     replica_headroom_.need = need;
     replica_headroom_.type = job.cheapest_type;
@@ -103,67 +118,98 @@
             .spot_arrivals.record(job.machine_share * job.spec.tasks, job.accepted_at);
     }
     if (job.is_service() && job.cheapest_type != kNone) record_replica_arrival(job);
-    const bool takes_whole = uses_whole_machine(job);
-    statistics.uses_whole_machine = statistics.uses_whole_machine || takes_whole;
-    // Those that may use spot machines are looked after there.
-    if (job.cheapest_type != kNone && !job.spec.spot && takes_whole) {
-        TypeDemand& demand = mutable_demand(job.cheapest_type);
-        demand.whole_machine_arrivals.record(job.spec.tasks, job.accepted_at);
-        bool pressing = std::any_of(
-            term_.settings().objectives.begin(), term_.settings().objectives.end(),
-            [&](const auto& o) {
-                return o.kind == wire::Objective::Kind::wait && o.job_class == job.spec.job_class &&
-                       o.within_s < cluster_.types()[job.cheapest_type].boot_s;
-            });
-        if (pressing) demand.urgent_arrivals.record(job.spec.tasks, job.accepted_at);
-    }
+    const bool whole_machine = uses_whole_machine(job);
+    statistics.uses_whole_machine = statistics.uses_whole_machine || whole_machine;
+    // Those that may use spot machines are counted with them.
+    if (job.cheapest_type != kNone && !job.spec.spot && whole_machine)
+        record_whole_machine_arrival(job);
+}
+
+void DemandForecast::record_whole_machine_arrival(const Job& job) {
+    TypeDemand& demand = mutable_demand(job.cheapest_type);
+    demand.whole_machine_arrivals.record(job.spec.tasks, job.accepted_at);
+    if (must_start_within_boot(job)) demand.urgent_arrivals.record(job.spec.tasks, job.accepted_at);
+}
+
+// Do the operators' objectives want its class to start sooner than a machine boots?
+bool DemandForecast::must_start_within_boot(const Job& job) const {
+    const double boot_s = cluster_.types()[job.cheapest_type].boot_s;
+    const std::vector<wire::Objective>& objectives = term_.settings().objectives;
+    return std::any_of(objectives.begin(), objectives.end(), [&](const wire::Objective& objective) {
+        return objective.kind == wire::Objective::Kind::wait &&
+               objective.job_class == job.spec.job_class && objective.within_s < boot_s;
+    });
 }
 
+// Each part replaces what the machine counted for before by what it counts for now.
 void DemandForecast::on_machine_changed(Machine& machine) {
-    TypeDemand& demand = mutable_demand(machine.type);
-    bool blank = machine.accepts_tasks() && !machine.spot && machine.live_attempts == 0;
-    if (blank != machine.empty_on_demand) demand.empty_on_demand += blank ? 1 : -1;
-    machine.empty_on_demand = blank;
-    double room = 0;
+    update_empty(machine);
+    update_spot_share(machine);
+    update_array_share(machine);
+    update_replica_slots(machine);
+    update_whole_machine(machine);
+}
+
+void DemandForecast::update_empty(Machine& machine) {
+    const bool empty = machine.accepts_tasks() && !machine.spot && machine.live_attempts == 0;
+    if (empty != machine.empty_on_demand)
+        mutable_demand(machine.type).empty_on_demand += empty ? 1 : -1;
+    machine.empty_on_demand = empty;
+}
+
+void DemandForecast::update_spot_share(Machine& machine) {
+    double share = 0;
     if (machine.accepts_tasks() && machine.spot) {
-        const wire::MachineType& machine_type = cluster_.types()[machine.type];
-        room = std::max(0.0, machine.cpus_free / std::max(1.0, machine_type.cpus));
-        if (machine_type.gpus > 0)
-            room = std::min(room, std::max(0.0, machine.gpus_free / machine_type.gpus));
+        const wire::MachineType& type = cluster_.types()[machine.type];
+        share = std::max(0.0, machine.cpus_free / std::max(1.0, type.cpus));
+        if (type.gpus > 0) share = std::min(share, std::max(0.0, machine.gpus_free / type.gpus));
     }
-    demand.free_spot_machines += room - machine.free_spot_share;
-    machine.free_spot_share = room;
-    bool here = machine.accepts_tasks() || machine.state == MachineState::booting ||
-                machine.state == MachineState::joining;
-    double flexible =
-        here ? std::max(0.0, 1 - machine.gang_and_service_cpus /
-                                     std::max(1.0, cluster_.types()[machine.type].cpus))
-             : 0;
-    demand.array_capacity[machine.spot ? 1 : 0] += flexible - machine.array_share;
-    machine.array_share = flexible;
-    double places = 0;
+    mutable_demand(machine.type).free_spot_machines += share - machine.free_spot_share;
+    machine.free_spot_share = share;
+}
+
+void DemandForecast::update_array_share(Machine& machine) {
+    const bool is_there_or_coming = machine.accepts_tasks() ||
+                                    machine.state == MachineState::booting ||
+                                    machine.state == MachineState::joining;
+    double share = 0;
+    if (is_there_or_coming) {
+        const double cpus = std::max(1.0, cluster_.types()[machine.type].cpus);
+        share = std::max(0.0, 1 - machine.gang_and_service_cpus / cpus);
+    }
+    mutable_demand(machine.type).array_capacity[machine.spot ? 1 : 0] +=
+        share - machine.array_share;
+    machine.array_share = share;
+}
+
+void DemandForecast::update_replica_slots(Machine& machine) {
+    const ReplicaHeadroom& headroom = replica_headroom_;
     machine.counts_for_replicas =
-        replica_headroom_.type != kNone && machine.accepts_tasks() && !machine.spot &&
-        machine.type < replica_headroom_.relative_cost.size() &&
-        replica_headroom_.relative_cost[machine.type].first <= placement::kExpensiveFactor;
+        headroom.type != kNone && machine.accepts_tasks() && !machine.spot &&
+        machine.type < headroom.relative_cost.size() &&
+        headroom.relative_cost[machine.type].first <= placement::kExpensiveFactor;
+    double slots = 0;
     if (machine.counts_for_replicas) {
-        places = placement::tasks_that_fit(machine.cpus_free, machine.gpus_free,
-                                           machine.memory_free, replica_headroom_.need, 1024);
+        slots = placement::tasks_that_fit(machine.cpus_free, machine.gpus_free, machine.memory_free,
+                                          headroom.need, kMaxReplicaSlots);
     }
-    replica_headroom_.free_slots += places - machine.replica_slots;
-    machine.replica_slots = places;
-    bool spare =
+    replica_headroom_.free_slots += slots - machine.replica_slots;
+    machine.replica_slots = slots;
+}
+
+void DemandForecast::update_whole_machine(Machine& machine) {
+    const bool available =
         machine.accepts_tasks() && !machine.spot && machine.live_gang_and_service_attempts == 0;
-    if (spare != machine.available_for_whole_machine_task)
-        demand.available_for_whole_machine_tasks += spare ? 1 : -1;
-    machine.available_for_whole_machine_task = spare;
+    if (available != machine.available_for_whole_machine_task)
+        mutable_demand(machine.type).available_for_whole_machine_tasks += available ? 1 : -1;
+    machine.available_for_whole_machine_task = available;
 }
 
 void DemandForecast::on_task_running_changed(const Job& job, bool begins) {
     if (job.is_service()) return;
-    class_statistics_[job.job_class].running += begins ? 1 : -1;
-    class_statistics_[job.job_class].machine_share +=
-        begins ? job.machine_share : -job.machine_share;
+    ClassStatistics& statistics = class_statistics_[job.job_class];
+    statistics.running += begins ? 1 : -1;
+    statistics.machine_share += begins ? job.machine_share : -job.machine_share;
 }
 
 void DemandForecast::clear_whole_machines_wanted() {
@@ -172,65 +218,67 @@
 
 void DemandForecast::add_whole_machines_wanted(const Job& job) {
     if (job.cheapest_type == kNone || !class_statistics_[job.job_class].uses_whole_machine) return;
-    // Some are set aside for others; of a gang of one zone nobody knows where all of it will fit.
+    // Some are kept for others; of a gang bound to one zone it is unknown where all of it will fit.
     const std::size_t zones =
-        job.spec.one_zone ? std::min<std::size_t>(cluster_.zones().size(), kZones) : 0;
+        job.spec.one_zone ? std::min<std::size_t>(cluster_.zones().size(), kMaxZonesConsidered) : 0;
     mutable_demand(job.cheapest_type).whole_machines_wanted +=
-        job.placeable_tasks() * std::max(kBlankEach, zones);
+        job.placeable_tasks() * std::max(kEmptyPerTask, zones);
 }
 
-// A machine hired now is of use after its boot. Places that running array tasks leave before then
-// serve the queue as early, and cost nothing. By type: an urgent array once waited for places on
-// machines that it is not put on.
+// A machine provisioned now is of use after its boot. Slots that running array tasks leave before
+// then serve the queue as early, and cost nothing. By type: an urgent array once waited for slots
+// on machines that it is not placed on.
 std::vector<std::uint32_t> DemandForecast::slots_freed_soon() const {
     double boot_s = 0;
     for (const wire::MachineType& machine_type : cluster_.types()) {
         if (boot_s == 0 || machine_type.boot_s < boot_s) boot_s = machine_type.boot_s;
     }
-    std::vector<double> places(cluster_.types().size());
+    std::vector<double> slots(cluster_.types().size());
     for (const ClassStatistics& statistics : class_statistics_) {
         if (statistics.uses_whole_machine || statistics.weight <= 0 ||
-            statistics.type >= places.size())
+            statistics.type >= slots.size())
             continue;
-        double run_s = std::max(1.0, statistics.observed_run_s / statistics.weight);
-        places[statistics.type] += statistics.running * std::min(1.0, boot_s / run_s);
+        slots[statistics.type] +=
+            statistics.running * std::min(1.0, boot_s / mean_run_s(statistics));
     }
-    return {places.begin(), places.end()};
+    return {slots.begin(), slots.end()};
 }
 
 double DemandForecast::expected_run_s(const Job& job) const {
     const ClassStatistics& statistics = class_statistics_[job.job_class];
-    double ratio = statistics.estimated_run_s > 0
-                       ? statistics.observed_run_s / statistics.estimated_run_s
-                       : 1.0;
+    const double ratio = statistics.estimated_run_s > 0
+                             ? statistics.observed_run_s / statistics.estimated_run_s
+                             : 1.0;
     return job.spec.estimate_s * ratio;
 }
 
-// Owners' guesses are off, on some days all the same way: remembers how much, class by class.
+// Owners' estimates are off, on some days all the same way: this learns how much, by class.
 void DemandForecast::on_task_completed(const Job& job, const Attempt& attempt, Millis now) {
     if (attempt.running_since == 0 || attempt.number != 1 || job.spec.estimate_s <= 0) return;
     ClassStatistics& statistics = class_statistics_[job.job_class];
-    statistics.weight = statistics.weight * 0.97 + 1;
-    statistics.observed_run_s = statistics.observed_run_s * 0.97 +
+    statistics.weight = statistics.weight * kCompletionDecay + 1;
+    statistics.observed_run_s = statistics.observed_run_s * kCompletionDecay +
                                 static_cast<double>(now - attempt.running_since) / 1000.0;
-    statistics.estimated_run_s = statistics.estimated_run_s * 0.97 + job.spec.estimate_s;
+    statistics.estimated_run_s =
+        statistics.estimated_run_s * kCompletionDecay + job.spec.estimate_s;
 }
 
-// Does a task of it take most of a machine, and wait for nobody?
+// Does a task of the job take most of any machine that it may use, and is it no array?
 bool DemandForecast::uses_whole_machine(const Job& job) const {
     if (job.spec.shape == wire::Shape::array) return false;
-    for (Index t = 0; t < cluster_.types().size() && t < job.allowed_type.size(); ++t) {
-        const wire::MachineType& type = cluster_.types()[t];
-        if (job.allowed_type[t] == 0) continue;
+    for (Index index = 0; index < cluster_.types().size() && index < job.allowed_type.size();
+         ++index) {
+        const wire::MachineType& type = cluster_.types()[index];
+        if (job.allowed_type[index] == 0) continue;
         if (job.spec.cpus * 2 <= type.cpus && job.spec.gpus * 2 <= type.gpus) return false;
     }
     return true;
 }
 
 std::size_t DemandForecast::wanted_spare_machines(Index type, Millis now) {
-    return static_cast<std::size_t>(std::ceil(
-        wanted_ahead_of_need(mutable_demand(type).whole_machine_arrivals, type, whole_of(type),
-                             term_.options().idle_retention_margin, now)));
+    return static_cast<std::size_t>(std::ceil(wanted_ahead_of_need(
+        mutable_demand(type).whole_machine_arrivals, type, leaves_whole_machine(type),
+        term_.options().idle_retention_margin, now)));
 }
 
 double DemandForecast::wanted_replica_slots(Millis now) {
@@ -246,17 +294,16 @@
     return demand_[type];
 }
 
-// Blank machines that gangs need, or will within seconds, are not for those that spot machines
-// serve as well: they would be stopped again at once. No more than they can use: one gang that
-// waited for its zone once kept thousands empty.
+// Empty machines that gangs need, or will within seconds, are not for tasks that spot machines
+// serve as well: they would be stopped again at once. No more are kept than gangs can use: one gang
+// that waited for its zone once kept thousands empty.
 bool DemandForecast::keeps_empty_machine(Index type, Millis now) {
     TypeDemand& demand = mutable_demand(type);
     const auto soon =
-        static_cast<std::size_t>(demand.whole_machine_arrivals.deviation_within(kGangsSoonS, now));
+        static_cast<std::size_t>(demand.whole_machine_arrivals.deviation_within(kSoonS, now));
     return demand.empty_on_demand <= demand.whole_machines_wanted + soon;
 }
 
-// What arrays of higher priority take on average, in cpus.
 double DemandForecast::expected_load_above(const Job& job, Millis now) {
     double sum = 0;
     for (ClassStatistics& statistics : class_statistics_) {
@@ -268,8 +315,9 @@
 }
 
 double DemandForecast::wanted_urgent_machines(Index type, Millis now) {
-    return wanted_ahead_of_need(mutable_demand(type).urgent_arrivals, type, whole_of(type),
-                                term_.options().provisioning_margin, now);
+    return wanted_ahead_of_need(mutable_demand(type).urgent_arrivals, type,
+                                leaves_whole_machine(type), term_.options().provisioning_margin,
+                                now);
 }
 
 double DemandForecast::wanted_spot_machines(Index type, Millis now) {
