--- a/src/dependencies/dependency_automata.cpp
+++ b/src/dependencies/dependency_automata.cpp
@@ -1,7 +1,6 @@
 #include "dependencies/dependency_automata.h"
 
 #include <algorithm>
-#include <tuple>
 
 namespace nickelramp::dependencies {
 
@@ -21,8 +20,8 @@
 }
 
 void DependencyAutomata::remove_event(Event event) {
-    auto mentioned = events_[event].mentioned_by;
-    for (Automaton automaton : mentioned) remove(automaton);
+    const std::vector<Automaton> mentioned_by = events_[event].mentioned_by;
+    for (const Automaton automaton : mentioned_by) remove(automaton);
     std::erase(pending_, event);
     events_[event] = EventState{};
     free_events_.push_back(event);
@@ -37,26 +36,24 @@
         automaton = free_automata_.back();
         free_automata_.pop_back();
     }
-    automaton_states_[automaton] =
-        AutomatonState{kind, e1, e2, events_[e1].status, events_[e2].status, true};
+    AutomatonState& state = automaton_states_[automaton];
+    state = AutomatonState{kind, e1, e2, events_[e1].status, events_[e2].status, true};
     events_[e1].mentioned_by.push_back(automaton);
     events_[e2].mentioned_by.push_back(automaton);
     ++live_automaton_count_;
     if (violated != nullptr) {
-        const AutomatonState& machine = automaton_states_[automaton];
-        // Added too late: for an order the sequence of past events is unknown, and taken as right.
-        *violated = kind == Kind::existence && machine.status1 == EventStatus::occurred &&
-                    machine.status2 == EventStatus::excluded;
+        *violated = kind == Kind::existence && state.status1 == EventStatus::occurred &&
+                    state.status2 == EventStatus::excluded;
     }
     return automaton;
 }
 
 void DependencyAutomata::remove(Automaton automaton) {
-    AutomatonState& machine = automaton_states_[automaton];
-    if (!machine.live) return;
-    std::erase(events_[machine.e1].mentioned_by, automaton);
-    std::erase(events_[machine.e2].mentioned_by, automaton);
-    machine.live = false;
+    AutomatonState& state = automaton_states_[automaton];
+    if (!state.live) return;
+    std::erase(events_[state.e1].mentioned_by, automaton);
+    std::erase(events_[state.e2].mentioned_by, automaton);
+    state.live = false;
     free_automata_.push_back(automaton);
     --live_automaton_count_;
 }
@@ -66,174 +63,219 @@
                                     std::vector<Automaton>* violated) {
     events_[event].status = status;
     std::erase(pending_, event);
-    for (Automaton automaton : events_[event].mentioned_by) {
-        AutomatonState& m = automaton_state(automaton);
-        bool broken = false;
-        if (m.kind == Kind::order) {
-            broken = m.e1 == event && status == EventStatus::occurred &&
-                     m.status2 == EventStatus::occurred;
-        } else {
-            broken = m.e2 == event && status == EventStatus::excluded &&
-                     m.status1 == EventStatus::occurred;
-            broken = broken || (m.e1 == event && status == EventStatus::occurred &&
-                                m.status2 == EventStatus::excluded);
-        }
-        (m.e1 == event ? m.status1 : m.status2) = status;
+    for (const Automaton automaton : events_[event].mentioned_by) {
+        AutomatonState& state = automaton_states_[automaton];
+        const bool broken = breaks(state, event, status);
+        (state.e1 == event ? state.status1 : state.status2) = status;
         if (broken && violated != nullptr) violated->push_back(automaton);
     }
 }
 
+// Is the dependency broken if its event gets this status now?
+bool DependencyAutomata::breaks(const AutomatonState& state, Event event, EventStatus status) {
+    const bool first_occurs = state.e1 == event && status == EventStatus::occurred;
+    if (state.kind == Kind::order) return first_occurs && state.status2 == EventStatus::occurred;
+    const bool second_excluded = state.e2 == event && status == EventStatus::excluded;
+    return (second_excluded && state.status1 == EventStatus::occurred) ||
+           (first_occurs && state.status2 == EventStatus::excluded);
+}
+
+// Does what has happened already rule the event out?
+bool DependencyAutomata::can_never_occur(Event event) const {
+    const std::vector<Automaton>& automata = events_[event].mentioned_by;
+    return std::any_of(automata.begin(), automata.end(), [&](Automaton automaton) {
+        const AutomatonState& state = automaton_states_[automaton];
+        return breaks(state, event, EventStatus::occurred);
+    });
+}
+
 // Accepted events have been submitted or are forcible; rejected ones have been submitted.
-bool DependencyAutomata::executable(const Step& s, Event submitted) const {
-    const EventState& e = events_[s.event];
-    if (e.status != EventStatus::open) return false;
-    bool arrived = e.arrival_order != 0 || s.event == submitted;
-    if (s.action == Action::accept) return arrived || e.attributes.forcible;
-    return arrived && e.attributes.rejectable && s.event != submitted;
+bool DependencyAutomata::executable(const Step& step, Event submitted) const {
+    const EventState& event = events_[step.event];
+    if (event.status != EventStatus::open) return false;
+    const bool arrived = event.arrival_order != 0 || step.event == submitted;
+    if (step.action == Action::accept) return arrived || event.attributes.forcible;
+    return arrived && event.attributes.rejectable && step.event != submitted;
 }
 
-// Every path from the automaton's state that decides one or two events. The paper leaves the order
-// open; here nothing is forced or turned down that need not be, and then what accepts most comes
-// first.
-void DependencyAutomata::candidates(Automaton automaton, Event submitted,
-                                    std::vector<Path>& out) const {
-    const AutomatonState& machine = automaton_states_[automaton];
-    auto offer = [&](std::vector<Step> steps, bool ordered) {
-        for (const Step& s : steps) {
-            if (!executable(s, submitted)) return;
-        }
-        out.push_back({automaton, std::move(steps), ordered});
+// Every path of an order automaton from its state that decides one or two events.
+std::vector<DependencyAutomata::Path> DependencyAutomata::order_paths(Automaton automaton) const {
+    const AutomatonState& state = automaton_states_[automaton];
+    const Step accept1{state.e1, Action::accept}, accept2{state.e2, Action::accept};
+    const Step reject1{state.e1, Action::reject}, reject2{state.e2, Action::reject};
+    const bool open1 = state.status1 == EventStatus::open;
+    const bool open2 = state.status2 == EventStatus::open;
+    const EventState& event1 = events_[state.e1];
+    std::vector<Path> paths;
+    auto add = [&](std::vector<Step> steps, bool ordered) {
+        paths.push_back({automaton, std::move(steps), ordered});
     };
-    const Step a1{machine.e1, Action::accept}, a2{machine.e2, Action::accept};
-    const Step r1{machine.e1, Action::reject}, r2{machine.e2, Action::reject};
-    const bool open1 = machine.status1 == EventStatus::open,
-               open2 = machine.status2 == EventStatus::open;
-    const bool rejectable1 = events_[machine.e1].attributes.rejectable;
-    if (machine.kind == Kind::order) {
-        if (open1 && open2) offer({a1, a2}, true);
-        if (open1 && machine.status2 != EventStatus::occurred) offer({a1}, true);
-        // Once e2 has happened, e1 must stay away: only a rejectable one, or one known to be off.
-        if (open2 && (machine.status1 != EventStatus::open || rejectable1)) {
-            if (open1 && events_[machine.e1].arrival_order != 0)
-                offer({a2, r1}, true);
-            else
-                offer({a2}, true);
-        }
-        if (open1 && open2) offer({a1, r2}, false);
-        if (open1) offer({r1}, true);
-        if (open2) offer({r2}, true);
-        if (open1 && open2) offer({r1, r2}, false);
-    } else {
-        if (open1 && open2) offer({a1, a2}, false);
-        if (open1 && machine.status2 == EventStatus::occurred) offer({a1}, true);
-        if (open2) offer({a2}, true);
-        if (open1 && open2) offer({r1, a2}, false);
-        if (open1) offer({r1}, true);
-        if (open2 && machine.status1 != EventStatus::occurred) offer({r2}, true);
-        if (open1 && open2) offer({r1, r2}, false);
+    if (open1 && open2) add({accept1, accept2}, true);
+    if (open1 && state.status2 != EventStatus::occurred) add({accept1}, true);
+    // Once e2 has happened, e1 must stay away: only a rejectable one, or one known to be off.
+    if (open2 && (!open1 || event1.attributes.rejectable)) {
+        if (open1 && event1.arrival_order != 0)
+            add({accept2, reject1}, true);
+        else
+            add({accept2}, true);
     }
-    auto dislike = [&](const Path& p) {
-        int forced = 0, rejected = 0;
-        for (const Step& s : p.steps) {
-            if (s.action == Action::reject)
-                ++rejected;
-            else if (s.event != submitted && events_[s.event].arrival_order == 0)
-                ++forced;
-        }
-        return std::tuple(forced, rejected, 2 - static_cast<int>(p.steps.size()));
+    if (open1 && open2) add({accept1, reject2}, false);
+    if (open1) add({reject1}, true);
+    if (open2) add({reject2}, true);
+    if (open1 && open2) add({reject1, reject2}, false);
+    return paths;
+}
+
+// The same of an existence automaton.
+std::vector<DependencyAutomata::Path> DependencyAutomata::existence_paths(
+    Automaton automaton, const AutomatonState& state) {
+    const Step accept1{state.e1, Action::accept}, accept2{state.e2, Action::accept};
+    const Step reject1{state.e1, Action::reject}, reject2{state.e2, Action::reject};
+    const bool open1 = state.status1 == EventStatus::open;
+    const bool open2 = state.status2 == EventStatus::open;
+    std::vector<Path> paths;
+    auto add = [&](std::vector<Step> steps, bool ordered) {
+        paths.push_back({automaton, std::move(steps), ordered});
     };
-    std::stable_sort(out.begin(), out.end(),
-                     [&](const Path& a, const Path& b) { return dislike(a) < dislike(b); });
+    if (open1 && open2) add({accept1, accept2}, false);
+    if (open1 && state.status2 == EventStatus::occurred) add({accept1}, true);
+    if (open2) add({accept2}, true);
+    if (open1 && open2) add({reject1, accept2}, false);
+    if (open1) add({reject1}, true);
+    if (open2 && state.status1 != EventStatus::occurred) add({reject2}, true);
+    if (open1 && open2) add({reject1, reject2}, false);
+    return paths;
 }
 
-const DependencyAutomata::Step* DependencyAutomata::step_of(const Path& p, Event event) {
-    for (const Step& s : p.steps) {
-        if (s.event == event) return &s;
+DependencyAutomata::PathPenalty DependencyAutomata::penalty(const Path& path,
+                                                            Event submitted) const {
+    PathPenalty penalty;
+    for (const Step& step : path.steps) {
+        if (step.action == Action::reject)
+            ++penalty.rejected;
+        else if (step.event != submitted && events_[step.event].arrival_order == 0)
+            ++penalty.forced;
+    }
+    penalty.undecided = 2 - static_cast<int>(path.steps.size());
+    return penalty;
+}
+
+// The paths that can be executed, the best first. The paper leaves the order open; here nothing is
+// forced or rejected that need not be, and then what decides most comes first.
+std::vector<DependencyAutomata::Path> DependencyAutomata::candidates(Automaton automaton,
+                                                                     Event submitted) const {
+    const AutomatonState& state = automaton_states_[automaton];
+    std::vector<Path> paths =
+        state.kind == Kind::order ? order_paths(automaton) : existence_paths(automaton, state);
+    std::erase_if(paths, [&](const Path& path) {
+        return !std::all_of(path.steps.begin(), path.steps.end(),
+                            [&](const Step& step) { return executable(step, submitted); });
+    });
+    std::stable_sort(paths.begin(), paths.end(), [&](const Path& a, const Path& b) {
+        return penalty(a, submitted) < penalty(b, submitted);
+    });
+    return paths;
+}
+
+const DependencyAutomata::Step* DependencyAutomata::step_of(const Path& path, Event event) {
+    for (const Step& step : path.steps) {
+        if (step.event == event) return &step;
     }
     return nullptr;
 }
 
 const DependencyAutomata::Step* DependencyAutomata::decided(const Pathset& set, Event event) {
-    for (const Path& p : set) {
-        if (const Step* s = step_of(p, event)) return s;
+    for (const Path& path : set) {
+        if (const Step* step = step_of(path, event)) return step;
     }
     return nullptr;
 }
 
+// Does the path decide all that the shorter one decides, the same way, and more?
+bool DependencyAutomata::extends(const Path& path, const Path& shorter) {
+    if (path.steps.size() <= shorter.steps.size()) return false;
+    return std::all_of(shorter.steps.begin(), shorter.steps.end(), [&](const Step& step) {
+        const Step* same = step_of(path, step.event);
+        return same != nullptr && same->action == step.action;
+    });
+}
+
+// If the path's automaton mentions the submitted event, the path must accept it.
+bool DependencyAutomata::accepts_submitted(const Path& path, Event submitted) const {
+    const Step* step = step_of(path, submitted);
+    if (step != nullptr) return step->action == Action::accept;
+    const AutomatonState& state = automaton_states_[path.automaton];
+    return state.e1 != submitted && state.e2 != submitted;
+}
+
 // a-closed and r-closed as far as this path goes: it decides what the set decides of its events,
 // the same way.
-bool DependencyAutomata::is_compatible(const Pathset& set, const Path& p) const {
-    const AutomatonState& machine = automaton_states_[p.automaton];
-    for (Event event : {machine.e1, machine.e2}) {
+bool DependencyAutomata::is_compatible(const Pathset& set, const Path& path) const {
+    const AutomatonState& state = automaton_states_[path.automaton];
+    for (const Event event : {state.e1, state.e2}) {
         const Step* theirs = decided(set, event);
-        const Step* ours = step_of(p, event);
+        const Step* ours = step_of(path, event);
         if (theirs != nullptr && (ours == nullptr || ours->action != theirs->action)) return false;
     }
     return true;
 }
 
 // The accepts of all paths together leave an order: no event comes, over others, before itself.
-bool DependencyAutomata::order_consistent(const Pathset& set, const Path& p) {
-    if (!p.ordered || p.steps.size() < 2) return true;
-    std::vector<Event> reach{p.steps[1].event};
-    for (std::size_t i = 0; i < reach.size(); ++i) {
-        if (reach[i] == p.steps[0].event) return false;
-        for (const Path& q : set) {
-            if (!q.ordered || q.steps.size() < 2 || q.steps[0].event != reach[i]) continue;
-            if (std::find(reach.begin(), reach.end(), q.steps[1].event) == reach.end()) {
-                reach.push_back(q.steps[1].event);
-            }
+bool DependencyAutomata::order_consistent(const Pathset& set, const Path& path) {
+    if (!path.ordered || path.steps.size() < 2) return true;
+    std::vector<Event> later{path.steps[1].event};  // everything that comes after the first step
+    for (std::size_t next = 0; next < later.size(); ++next) {
+        if (later[next] == path.steps[0].event) return false;
+        for (const Path& other : set) {
+            if (!other.ordered || other.steps.size() < 2 || other.steps[0].event != later[next])
+                continue;
+            const Event follower = other.steps[1].event;
+            if (std::find(later.begin(), later.end(), follower) == later.end())
+                later.push_back(follower);
         }
     }
     return true;
 }
 
-// The paper's search (its figure 7): close the set off, automaton by automaton.
-bool DependencyAutomata::search(Pathset& set, Event submitted) const {
-    Automaton open = kNone;
-    auto needs = [&](Event event) {
-        for (Automaton automaton : events_[event].mentioned_by) {
-            bool covered = std::any_of(set.begin(), set.end(), [&](const Path& p) {
-                return p.automaton == automaton && step_of(p, event) != nullptr;
-            });
-            if (!covered) return automaton;
-        }
-        return kNone;
-    };
-    open = needs(submitted);
-    for (std::size_t i = 0; open == kNone && i < set.size(); ++i) {
-        for (const Step& s : set[i].steps) {
-            open = needs(s.event);
-            if (open != kNone) break;
+// An automaton that mentions the event and has no path in the set that decides it; kNone: there is
+// none.
+Automaton DependencyAutomata::uncovered_automaton(const Pathset& set, Event event) const {
+    for (const Automaton automaton : events_[event].mentioned_by) {
+        const bool covered = std::any_of(set.begin(), set.end(), [&](const Path& path) {
+            return path.automaton == automaton && step_of(path, event) != nullptr;
+        });
+        if (!covered) return automaton;
+    }
+    return kNone;
+}
+
+// The automaton whose path the set lacks next; kNone: the set is closed.
+Automaton DependencyAutomata::open_automaton(const Pathset& set, Event submitted) const {
+    Automaton open = uncovered_automaton(set, submitted);
+    for (const Path& path : set) {
+        for (const Step& step : path.steps) {
+            if (open != kNone) return open;
+            open = uncovered_automaton(set, step.event);
         }
     }
-    if (open == kNone) return true;
+    return open;
+}
 
+// The paper's search (its figure 7): close the set off, automaton by automaton.
+bool DependencyAutomata::search(Pathset& set, Event submitted) const {
+    const Automaton open = open_automaton(set, submitted);
+    if (open == kNone) return true;
     // An automaton that already gave a path may have to give a longer one.
+    const auto earlier = std::find_if(set.begin(), set.end(),
+                                      [&](const Path& path) { return path.automaton == open; });
     Pathset rest = set;
-    std::erase_if(rest, [&](const Path& p) { return p.automaton == open; });
-    const Path* earlier = nullptr;
-    for (const Path& p : set) {
-        if (p.automaton == open) earlier = &p;
-    }
-    std::vector<Path> paths;
-    candidates(open, submitted, paths);
-    for (Path& p : paths) {
-        const Step* s = step_of(p, submitted);
-        if (s != nullptr && s->action != Action::accept) continue;
-        const AutomatonState& machine = automaton_states_[open];
-        if (s == nullptr && (machine.e1 == submitted || machine.e2 == submitted)) continue;
-        if (!is_compatible(rest, p) || !order_consistent(rest, p)) continue;
-        if (earlier != nullptr) {
-            bool extends =
-                std::all_of(earlier->steps.begin(), earlier->steps.end(), [&](const Step& q) {
-                    const Step* mine = step_of(p, q.event);
-                    return mine != nullptr && mine->action == q.action;
-                });
-            if (!extends || p.steps.size() <= earlier->steps.size()) continue;
-        }
+    std::erase_if(rest, [&](const Path& path) { return path.automaton == open; });
+    for (const Path& path : candidates(open, submitted)) {
+        if (!accepts_submitted(path, submitted)) continue;
+        if (!is_compatible(rest, path) || !order_consistent(rest, path)) continue;
+        if (earlier != set.end() && !extends(path, *earlier)) continue;
         Pathset next = rest;
-        next.push_back(p);
+        next.push_back(path);
         if (search(next, submitted)) {
             set = std::move(next);
             return true;
@@ -245,40 +287,46 @@
 void DependencyAutomata::execute(const Pathset& set, Event submitted, SubmitOutcome& out) {
     std::vector<Event> accepts{submitted};
     std::vector<Event> rejects;
-    for (const Path& p : set) {
-        for (const Step& s : p.steps) {
-            auto& list = s.action == Action::accept ? accepts : rejects;
-            if (std::find(list.begin(), list.end(), s.event) == list.end()) list.push_back(s.event);
+    for (const Path& path : set) {
+        for (const Step& step : path.steps) {
+            std::vector<Event>& events = step.action == Action::accept ? accepts : rejects;
+            if (std::find(events.begin(), events.end(), step.event) == events.end())
+                events.push_back(step.event);
         }
     }
-    // Where the paths leave the order open, events happen as they arrived, forced ones last.
+    // Where the paths leave the order open, events happen as they arrived; forced ones (0, which
+    // wraps) last.
     std::sort(accepts.begin(), accepts.end(), [&](Event a, Event b) {
         return events_[a].arrival_order - 1 < events_[b].arrival_order - 1;
     });
-    auto follows = [&](Event later, Event earlier) {
-        return std::any_of(set.begin(), set.end(), [&](const Path& p) {
-            return p.ordered && p.steps.size() == 2 && p.steps[0].event == earlier &&
-                   p.steps[1].event == later;
-        });
-    };
     while (!accepts.empty()) {
-        auto next = std::find_if(accepts.begin(), accepts.end(), [&](Event event) {
-            return std::none_of(accepts.begin(), accepts.end(), [&](Event other) {
-                return other != event && follows(event, other);
-            });
-        });
-        Event event = next == accepts.end() ? accepts.front() : *next;
+        const Event event = first_to_occur(set, accepts);
         std::erase(accepts, event);
         if (events_[event].arrival_order == 0) events_[event].arrival_order = ++last_arrival_;
         set_status(event, EventStatus::occurred, &out.violated);
         out.accepted.push_back(event);
     }
-    for (Event event : rejects) {
+    for (const Event event : rejects) {
         set_status(event, EventStatus::excluded, &out.violated);
         out.rejected.push_back(event);
     }
 }
 
+// The first of the events that follows none of the others.
+Event DependencyAutomata::first_to_occur(const Pathset& set, const std::vector<Event>& events) {
+    auto follows = [&set](Event later, Event earlier) {
+        return std::any_of(set.begin(), set.end(), [&](const Path& path) {
+            return path.ordered && path.steps.size() == 2 && path.steps[0].event == earlier &&
+                   path.steps[1].event == later;
+        });
+    };
+    const auto first = std::find_if(events.begin(), events.end(), [&](Event event) {
+        return std::none_of(events.begin(), events.end(),
+                            [&](Event other) { return other != event && follows(event, other); });
+    });
+    return first == events.end() ? events.front() : *first;
+}
+
 bool DependencyAutomata::attempt(Event event, SubmitOutcome& out) {
     Pathset set;
     if (!search(set, event)) return false;
@@ -286,36 +334,30 @@
     return true;
 }
 
+bool DependencyAutomata::accept_one_of(const std::vector<Event>& waiting, SubmitOutcome& out) {
+    return std::any_of(waiting.begin(), waiting.end(), [&](Event event) {
+        return events_[event].status == EventStatus::open && attempt(event, out);
+    });
+}
+
+// What can never be accepted any more is rejected, so that its sender learns of it.
+bool DependencyAutomata::reject_one_of(const std::vector<Event>& waiting, SubmitOutcome& out) {
+    const auto hopeless = std::find_if(waiting.begin(), waiting.end(), [&](Event event) {
+        const EventState& state = events_[event];
+        return state.status == EventStatus::open && state.attributes.rejectable &&
+               can_never_occur(event);
+    });
+    if (hopeless == waiting.end()) return false;
+    set_status(*hopeless, EventStatus::excluded, &out.violated);
+    out.rejected.push_back(*hopeless);
+    return true;
+}
+
 void DependencyAutomata::retry_pending(SubmitOutcome& out) {
-    for (bool moved = true; moved;) {
-        moved = false;
-        auto waiting = pending_;
-        for (Event event : waiting) {
-            if (events_[event].status == EventStatus::open && attempt(event, out)) {
-                moved = true;
-                break;
-            }
-        }
-        if (moved) continue;
-        // What can never be accepted any more is turned down, so that its sender learns of it.
-        for (Event event : waiting) {
-            if (events_[event].status != EventStatus::open || !events_[event].attributes.rejectable)
-                continue;
-            bool hopeless = false;
-            for (Automaton automaton : events_[event].mentioned_by) {
-                const AutomatonState& machine = automaton_states_[automaton];
-                bool late = machine.kind == Kind::order && machine.e1 == event &&
-                            machine.status2 == EventStatus::occurred;
-                bool orphan = machine.kind == Kind::existence && machine.e1 == event &&
-                              machine.status2 == EventStatus::excluded;
-                hopeless = hopeless || late || orphan;
-            }
-            if (!hopeless) continue;
-            set_status(event, EventStatus::excluded, &out.violated);
-            out.rejected.push_back(event);
-            moved = true;
-            break;
-        }
+    bool progressed = true;
+    while (progressed) {
+        const std::vector<Event> waiting = pending_;  // events leave the list as they are decided
+        progressed = accept_one_of(waiting, out) || reject_one_of(waiting, out);
     }
 }
 
@@ -329,9 +371,8 @@
     }
     if (state.arrival_order == 0) state.arrival_order = ++last_arrival_;
     if (!attempt(event, out)) {
-        const Attributes& a = state.attributes;
-        if (!a.delayable && !a.rejectable) {
-            // A fact: it has happened, whatever the automata say.
+        const bool is_fact = !state.attributes.delayable && !state.attributes.rejectable;
+        if (is_fact) {
             set_status(event, EventStatus::occurred, &out.violated);
             out.accepted.push_back(event);
         } else if (std::find(pending_.begin(), pending_.end(), event) == pending_.end()) {
@@ -339,10 +380,17 @@
         }
     }
     retry_pending(out);
-    EventStatus status = events_[event].status;
-    out.result = status == EventStatus::occurred   ? SubmitResult::accepted
-                 : status == EventStatus::excluded ? SubmitResult::rejected
-                                                   : SubmitResult::pending;
+    switch (events_[event].status) {
+        case EventStatus::occurred:
+            out.result = SubmitResult::accepted;
+            break;
+        case EventStatus::excluded:
+            out.result = SubmitResult::rejected;
+            break;
+        case EventStatus::open:
+            out.result = SubmitResult::pending;
+            break;
+    }
     return out;
 }
 
