--- a/src/drain/plan.h
+++ b/src/drain/plan.h
@@ -1,5 +1,7 @@
-// A drain plan: which tasks leave the machines that are to be emptied, where each would go, when
-// each machine would be empty, and what speaks against it.
+/// @file
+/// A drain plan: which tasks leave the machines that are to be emptied, where each would go, when
+/// each machine would be empty, and which objectives that would break. With its JSON form on the
+/// administration API.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,40 +14,46 @@
 
 namespace nickelramp::drain {
 
+/// Path of the plans on the administration API.
 inline constexpr const char* kPlansPath = "/admin/plans";
 
-// Machines by name, or all of a zone, of a type, of both, or all there are.
+/// Which machines to drain: by name, or all of a zone, of a type, of both, or all there are.
 struct Request {
-    std::string id;  // the caller chooses it
+    std::string id;  ///< the caller chooses it
     std::vector<std::string> machines;
     std::string zone, type;
     bool all = false;
-    std::uint32_t at_once = 0;  // 0: all in one wave
+    std::uint32_t at_once = 0;  ///< machines in a wave; 0: all in one
     bool operator==(const Request&) const = default;
 };
-// The field at fault is named in `error`.
+/// Reads a request's JSON form. Nothing if it is invalid: then `error` names the field at fault.
 std::optional<Request> parse_request(const wire::Json& body, std::string& error);
 
-// moves:    a replica stops and starts elsewhere
-// saves:    stops, saves and goes on elsewhere; of a gang, all members do
-// runs_out: stays to its end, since what it has done could not be saved
-// ending:   was told to stop already
-enum class MoveKind { moves_elsewhere, checkpoints_and_moves, runs_to_end, already_stopping };
-const char* name(MoveKind h);
+/// What becomes of a task that leaves.
+enum class MoveKind {
+    moves_elsewhere,        ///< a replica: stops and starts elsewhere
+    checkpoints_and_moves,  ///< stops, saves and goes on elsewhere; of a gang, all members do
+    runs_to_end,            ///< stays to its end, since what it has done could not be saved
+    already_stopping,       ///< was told to stop before
+};
+/// The name of the kind in the JSON form.
+const char* name(MoveKind kind);
 
-// Seconds from the plan's beginning.
+/// How one task leaves. Times are seconds from the plan's beginning.
 struct Move {
     std::string job;
     std::uint32_t task = 0;
     MoveKind kind = MoveKind::moves_elsewhere;
-    std::string to;  // a machine; a type and zone if one must be hired; empty: it stays, or nowhere
+    /// A machine; a type and zone if one must be provisioned; empty: it stays, or nothing fits.
+    std::string to;
     bool provisioned = false;
     double stops_s = 0, restarts_s = 0;
-    std::optional<double> ends_s;  // replicas do not
-    std::size_t observed_completions =
-        0;  // completed tasks of its class that the run time is taken from
+    std::optional<double> ends_s;  ///< of a task that has an end
+    /// From how many completed tasks of its class its run time is estimated.
+    std::size_t observed_completions = 0;
 };
 
+/// How one machine is emptied. Times are seconds from the plan's beginning.
 struct Step {
     std::string machine, type, zone;
     std::uint32_t wave = 0;
@@ -53,6 +61,7 @@
     std::vector<Move> moves;
 };
 
+/// An objective that the plan would break, or a task that would find no place.
 struct Violation {
     std::string job;
     std::uint32_t task = 0;
@@ -60,30 +69,37 @@
     std::optional<double> due_s, ends_s;
 };
 
+/// Machines that the plan would provision.
 struct PlannedMachines {
     std::string type, zone;
     std::uint32_t count = 0;
-    double price = 0;  // an hour, each
+    double price = 0;  ///< an hour, each
 };
 
-// planning: some machines are still to be looked at; ready; refused: something speaks against it
-enum class PlanState { planning, ready, refused };
-const char* name(PlanState s);
+enum class PlanState {
+    planning,  ///< some machines are still to be looked at
+    ready,
+    refused,  ///< it has violations
+};
+/// The name of the state in the JSON form.
+const char* name(PlanState state);
 
 struct Plan {
     Request request;
     PlanState state = PlanState::planning;
     std::vector<Step> steps;
-    std::vector<std::string> skipped_machines;  // and why
+    std::vector<std::string> skipped_machines;  ///< name and reason
     std::vector<Violation> violations;
     std::vector<PlannedMachines> provisioned_machines;
-    double empty_s = 0;
-    double cost = 0;  // of what is hired while what it takes the place of is still there
+    double empty_s = 0;  ///< when the last machine is empty
+    /// Of the machines that are provisioned, while those that they replace are still there.
+    double cost = 0;
 };
 
+/// The plan without its steps.
 wire::Json plan_json(const Plan& plan);
-// With its steps from that one on, so many that the answer stays small; "next" says where the next
-// page begins. All that is not steps is on the first.
+/// With its steps from that one on, so many that the reply stays small; "next" says where the next
+/// page begins. All that is not steps is on the first page.
 wire::Json plan_page(const Plan& plan, std::size_t from);
 
 }  // namespace nickelramp::drain
--- a/src/drain/request_handler.h
+++ b/src/drain/request_handler.h
@@ -1,12 +1,21 @@
-// The administration API's part for drain plans, under /admin/plans. Only the leader can answer:
-// `planner` is null on the others.
+/// @file
+/// The drain plans on the administration API, under /admin/plans.
 #pragma once
 #include "drain/planner.h"
 #include "net/http_server.h"
 
 namespace nickelramp::drain {
 
-bool handles_request(const net::Request& request);
-net::Response answer_request(const net::Request& request, Planner* planner);
+/// Is the path one of the drain plans'? Asked by the administration API's request handler.
+[[nodiscard]] bool handles_request(const net::Request& request);
+
+/// Answers a request for a path of the drain plans, on the loop thread:
+///
+///     POST /admin/plans              201 or 200 with the plan's state; 400, 409, 503
+///     GET  /admin/plans              200 with all plans, without steps
+///     GET  /admin/plans/<id>[?from=] 200 with a page of the plan; 400, 404
+///
+/// @param planner the leader's; null on the other controllers, which answer 503
+[[nodiscard]] net::Response answer_request(const net::Request& request, Planner* planner);
 
 }  // namespace nickelramp::drain
