--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -120,7 +120,7 @@
         if (role == Role::scale_in) {
             // Nothing may be placed on it: the release may be executed at any time.
             Machine* machine = cluster_.add_machine(intent.name, now);
-            cluster_.release_machine(*machine, "an earlier term was about to release it");
+            cluster_.release_machine(*machine, cluster::ReleaseReason::released_earlier);
             continue;
         }
         const Index type = cluster_.type_names().find(intent.type);
@@ -181,7 +181,7 @@
     if (machine->first_listed_at == 0) machine->first_listed_at = now;
     if (instance.status == wire::InstanceStatus::failed) {
         machine->failed = true;
-        cluster_.release_machine(*machine, "failed");
+        cluster_.release_machine(*machine, cluster::ReleaseReason::failed);
     } else if (instance.status == wire::InstanceStatus::running &&
                machine->state == MachineState::booting && machine->listed_running_at == 0) {
         machine->listed_running_at = now;
