--- a/src/failure/failure_domains.cpp
+++ b/src/failure/failure_domains.cpp
@@ -5,49 +5,65 @@
 namespace nickelramp::failure {
 
 namespace {
-// More at once than this, and more than this part, do not fail by themselves.
-constexpr std::size_t kFew = 4;
+// More machines at once than this, and more than this part of the domain, do not fail by
+// themselves.
+constexpr std::size_t kFewMachines = 4;
 constexpr double kFewPart = 0.04;
-// A machine reports every few seconds and is given up a few later: when the first of a domain that
-// was cut off could be given up, so much of it is overdue.
+// A machine sends a heartbeat every few seconds and is given up a few seconds later: when the first
+// machine of a domain that was cut off could be given up, this part of the domain is overdue.
 constexpr double kManyPart = 0.3;
-constexpr Millis kCalm = 2'000;  // few are silent for so long before each is judged alone again
-constexpr double kRationPart = 0.02;  // of a domain, a second
-constexpr double kBurst = 2;          // seconds' worth that may be saved up
-constexpr Millis kAhead = 12'000;     // before their lease ends, replicas may be moved
-constexpr double kMovePrice = 0.4;    // of a ration: little is lost by then
+// Fewer machines than this say nothing of their domain.
+constexpr std::size_t kMinDomainSize = 3;
+// Few machines must be unresponsive for so long before each is judged by itself again.
+constexpr Millis kTimeToHealthy = 2'000;
+// Of a domain's machines, in a second; one machine at the least.
+constexpr double kGiveUpPart = 0.02;
+constexpr double kMinGiveUpRate = 1.0;
+constexpr double kMaxBudgetSeconds = 2;  // seconds' worth of the rate that may be saved up
+constexpr double kPrice = 1;
+// Moving replicas is cheaper: little is lost so late before their lease ends.
+constexpr double kMovePrice = 0.4;
+constexpr Millis kMoveBeforeLeaseEnd = 12'000;
+// Heartbeats that come in again do so within this many intervals.
+constexpr double kSettleIntervals = 2.5;
+
+bool is_majority(std::size_t part, std::size_t all) { return part * 2 > all; }
 }  // namespace
 
 const char* name(DomainHealth health) {
     switch (health) {
         case DomainHealth::healthy:
-            return "clear";
+            return "healthy";
         case DomainHealth::degraded:
-            return "clouded";
+            return "degraded";
         case DomainHealth::lost:
-            return "dark";
+            return "lost";
         case DomainHealth::recovering:
-            return "clearing";
+            return "recovering";
     }
     return "?";
 }
 
+bool FailureDomain::mostly_unresponsive() const {
+    return up_count_ >= kMinDomainSize && is_majority(unresponsive_count_, up_count_);
+}
+
 bool FailureDomain::few_unresponsive() const {
-    return unresponsive_count_ < kFew ||
+    return unresponsive_count_ < kFewMachines ||
            static_cast<double>(unresponsive_count_) < kFewPart * static_cast<double>(up_count_);
 }
 
 bool FailureDomain::many_unresponsive() const {
-    if (up_count_ < 3) return false;
-    if (unresponsive_count_ * 2 > up_count_) return true;
-    return unresponsive_count_ >= kFew &&
+    if (up_count_ < kMinDomainSize) return false;
+    if (mostly_unresponsive()) return true;
+    return unresponsive_count_ >= kFewMachines &&
            static_cast<double>(unresponsive_count_) >= kManyPart * static_cast<double>(up_count_);
 }
 
 void FailureDomain::set_health(DomainHealth health, Millis now) {
     if (health_ == DomainHealth::healthy) healthy_until_ = now;
     health_ = health;
-    since_ = now;
+    health_since_ = now;
     few_unresponsive_since_ = 0;
 }
 
@@ -62,19 +78,13 @@
             if (!few_unresponsive()) set_health(DomainHealth::degraded, now);
             break;
         case DomainHealth::degraded:
-            if (!few_unresponsive()) {
-                few_unresponsive_since_ = 0;
-            } else if (few_unresponsive_since_ == 0) {
-                few_unresponsive_since_ = now;
-            } else if (now - few_unresponsive_since_ >= kCalm) {
-                set_health(DomainHealth::healthy, now);
-            }
+            update_degraded(now);
             break;
         case DomainHealth::lost:
             set_health(DomainHealth::recovering, now);
             break;
         case DomainHealth::recovering:
-            if (now - since_ >= settle_time_)
+            if (now - health_since_ >= settle_time_)
                 set_health(few_unresponsive() ? DomainHealth::healthy : DomainHealth::degraded,
                            now);
             break;
@@ -82,79 +92,105 @@
     return before != health_;
 }
 
+void FailureDomain::update_degraded(Millis now) {
+    if (!few_unresponsive()) {
+        few_unresponsive_since_ = 0;
+    } else if (few_unresponsive_since_ == 0) {
+        few_unresponsive_since_ = now;
+    } else if (now - few_unresponsive_since_ >= kTimeToHealthy) {
+        set_health(DomainHealth::healthy, now);
+    }
+}
+
+double FailureDomain::give_up_rate() const {
+    return std::max(kMinGiveUpRate, kGiveUpPart * static_cast<double>(up_count_));
+}
+
 void FailureDomain::refill_budget(Millis now) {
-    const double rate = std::max(1.0, kRationPart * static_cast<double>(up_count_));
+    const double rate = give_up_rate();
     if (refilled_at_ != 0)
         give_up_budget_ += rate * static_cast<double>(now - refilled_at_) / 1000.0;
-    give_up_budget_ = std::min(give_up_budget_, kBurst * rate);
+    give_up_budget_ = std::min(give_up_budget_, kMaxBudgetSeconds * rate);
     refilled_at_ = now;
 }
 
-// Those that gain most go first: for the others half of what may be saved up stays.
-bool FailureDomain::take_budget(bool first, double price) {
-    const double rate = std::max(1.0, kRationPart * static_cast<double>(up_count_));
-    if (give_up_budget_ < (first ? 1 : std::max(1.0, kBurst * rate / 2))) return false;
+bool FailureDomain::take_budget(BudgetClass budget_class, double price) {
+    const double needed = budget_class == BudgetClass::preferred
+                              ? kPrice
+                              : std::max(kPrice, kMaxBudgetSeconds * give_up_rate() / 2);
+    if (give_up_budget_ < needed) return false;
     give_up_budget_ -= price;
     return true;
 }
 
-bool FailureDomain::may_give_up(const UnresponsiveMachine& machine, Millis patience, Millis now) {
+bool FailureDomain::may_give_up(const UnresponsiveMachine& machine, Millis boot_time, Millis now) {
     if (health_ == DomainHealth::healthy) return true;
     refill_budget(now);
-    if (machine.stuck) return take_budget(true);
-    if (health_ == DomainHealth::degraded) return take_budget(machine.has_gangs_or_services);
-    // What runs there runs on until its lease is over: then it had better be elsewhere already.
-    const double price = kMovePrice;
+    if (machine.stuck) return take_budget(BudgetClass::preferred, kPrice);
+    if (health_ == DomainHealth::degraded) {
+        const auto budget_class =
+            machine.has_gangs_or_services ? BudgetClass::preferred : BudgetClass::ordinary;
+        return take_budget(budget_class, kPrice);
+    }
+    // Tasks there run on until their lease ends: by then their replacements should run elsewhere.
     if (health_ == DomainHealth::lost && machine.has_movable_replicas &&
-        now > machine.lease_until - kAhead)
-        return take_budget(true, price);
-    // A machine that answers again sooner than another boots is worth its price.
-    return now > machine.lease_until + patience && take_budget(false);
+        now > machine.lease_until - kMoveBeforeLeaseEnd)
+        return take_budget(BudgetClass::preferred, kMovePrice);
+    // A machine that answers again sooner than another boots is worth keeping.
+    return now > machine.lease_until + boot_time && take_budget(BudgetClass::ordinary, kPrice);
 }
 
-FailureDomains::FailureDomains(double report_s, double lease_s)
-    : settle_time_(std::min(seconds(2.5 * report_s), seconds(lease_s))),
+FailureDomains::FailureDomains(double heartbeat_interval_s, double lease_s)
+    : settle_time_(std::min(seconds(kSettleIntervals * heartbeat_interval_s), seconds(lease_s))),
       healthy_zones_combined_(settle_time_) {}
 
-void FailureDomains::adjust_counts(Index z, int up, int silent) {
-    while (zones_.size() <= z) zones_.emplace_back(settle_time_);
-    zones_[z].adjust_counts(up, silent);
+void FailureDomains::adjust_counts(Index zone, int up, int unresponsive) {
+    while (zones_.size() <= zone) zones_.emplace_back(settle_time_);
+    zones_[zone].adjust_counts(up, unresponsive);
 }
 
 std::vector<Index> FailureDomains::update(Millis now) {
     std::vector<Index> changed;
-    std::size_t up = 0, silent = 0;
-    for (Index z = 0; z < zones_.size(); ++z) {
-        if (zones_[z].update(now)) changed.push_back(z);
-        if (zones_[z].health() != DomainHealth::healthy) continue;
-        up += zones_[z].up_count();
-        silent += zones_[z].unresponsive_count();
+    std::size_t up = 0;
+    std::size_t unresponsive = 0;
+    for (Index index = 0; index < zones_.size(); ++index) {
+        FailureDomain& domain = zones_[index];
+        if (domain.update(now)) changed.push_back(index);
+        if (domain.health() != DomainHealth::healthy) continue;
+        up += domain.up_count();
+        unresponsive += domain.unresponsive_count();
     }
-    healthy_zones_combined_.set_counts(up, silent);
+    healthy_zones_combined_.set_counts(up, unresponsive);
     if (healthy_zones_combined_.update(now)) changed.push_back(kNone);
     return changed;
 }
 
-DomainHealth FailureDomains::health(Index z) const {
-    const DomainHealth own = zone(z).health();
+DomainHealth FailureDomains::health(Index zone_index) const {
+    const DomainHealth own = zone(zone_index).health();
     return own == DomainHealth::healthy ? healthy_zones_combined_.health() : own;
 }
 
-bool FailureDomains::may_give_up(Index z, const UnresponsiveMachine& machine, Millis patience,
+bool FailureDomains::is_lost(Index zone) const {
+    return zone < zones_.size() && zones_[zone].health() == DomainHealth::lost;
+}
+
+bool FailureDomains::may_give_up(Index zone, const UnresponsiveMachine& machine, Millis boot_time,
                                  Millis now) {
-    const bool own = z < zones_.size() && zones_[z].health() != DomainHealth::healthy;
-    return own ? zones_[z].may_give_up(machine, patience, now)
-               : healthy_zones_combined_.may_give_up(machine, patience, now);
+    const bool judged_alone =
+        zone < zones_.size() && zones_[zone].health() != DomainHealth::healthy;
+    FailureDomain& domain = judged_alone ? zones_[zone] : healthy_zones_combined_;
+    return domain.may_give_up(machine, boot_time, now);
 }
 
 bool FailureDomains::all_mostly_unresponsive() const {
-    std::size_t up = 0, silent = 0;
+    std::size_t up = 0;
+    std::size_t unresponsive = 0;
     for (const FailureDomain& domain : zones_) {
-        if (domain.up_count() >= 3 && !domain.mostly_unresponsive()) return false;
+        if (domain.up_count() >= kMinDomainSize && !domain.mostly_unresponsive()) return false;
         up += domain.up_count();
-        silent += domain.unresponsive_count();
+        unresponsive += domain.unresponsive_count();
     }
-    return up >= 3 && silent * 2 > up;
+    return up >= kMinDomainSize && is_majority(unresponsive, up);
 }
 
 }  // namespace nickelramp::failure
--- a/src/failure/failure_domains.h
+++ b/src/failure/failure_domains.h
@@ -1,6 +1,9 @@
-// Failure domains: silence that many machines share is rarely theirs. Pure: takes counts and time,
-// says what may be given up. A domain is a zone, or all machines of a book together (of a holder's
-// book: its block).
+/// @file
+/// Failure domains: when many machines stop answering together, the cause is rarely the machines.
+/// Takes counts and time, and says which machines may be given up. A domain is a zone, or all
+/// machines of a cluster state together (of a shard holder's: its shard).
+///
+/// Nothing here reads a clock or does I/O; times are milliseconds of the steady clock.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -10,89 +13,116 @@
 
 namespace nickelramp::failure {
 
-// clear:    few are silent; each is judged by itself
-// clouded:  more than fail by themselves; giving them up is rationed
-// dark:     so many that the way to them is likelier to have failed than they are; nothing is given
-//           up while its lease may last, and new work and hires go elsewhere
-// clearing: reports come back after that; those still silent have time to follow
-enum class DomainHealth { healthy, degraded, lost, recovering };
-const char* name(DomainHealth health);
+/// The health of a failure domain.
+enum class DomainHealth {
+    healthy,    ///< few machines are unresponsive; each is judged by itself
+    degraded,   ///< more than fail by themselves; giving them up is rate limited
+    lost,       ///< so many that the network to them is likelier to have failed than they are:
+                ///< nothing is given up while its lease may last, and new work and new machines go
+                ///< to other domains
+    recovering  ///< heartbeats come in again after that; the others have time to follow
+};
+[[nodiscard]] const char* name(DomainHealth health);
 
-// What is known of one silent machine when it could be given up.
+/// What is known of an unresponsive machine when it could be given up.
 struct UnresponsiveMachine {
-    bool stuck = false;  // its tasks make no progress: others of their gangs have ended
-    bool has_gangs_or_services = false;  // gangs or replicas are on it, not arrays alone
-    bool has_movable_replicas = false;   // some are on it, and all may be started in another domain
-    Millis lease_until = 0;              // about then what is on it ends by itself
+    bool stuck = false;  ///< its tasks make no progress: other members of their gangs have ended
+    bool has_gangs_or_services = false;  ///< gangs or replicas are on it, not arrays alone
+    bool has_movable_replicas =
+        false;               ///< replicas are on it, and all could start in other domains
+    Millis lease_until = 0;  ///< about when its tasks end by themselves
 };
 
+/// One failure domain: the counts of its machines, its health, and the rate at which its machines
+/// may be given up.
 class FailureDomain {
   public:
-    explicit FailureDomain(Millis settle) : settle_time_(settle) {}
+    /// @param settle_time how long after a loss machines may take to answer again.
+    explicit FailureDomain(Millis settle_time) : settle_time_(settle_time) {}
 
-    void adjust_counts(int up, int silent) {
+    /// Changes the counts of machines that are up, and of those among them that are unresponsive.
+    void adjust_counts(int up, int unresponsive) {
         up_count_ += static_cast<std::size_t>(up);
-        unresponsive_count_ += static_cast<std::size_t>(silent);
+        unresponsive_count_ += static_cast<std::size_t>(unresponsive);
     }
-    void set_counts(std::size_t up, std::size_t silent) {
+    void set_counts(std::size_t up, std::size_t unresponsive) {
         up_count_ = up;
-        unresponsive_count_ = silent;
+        unresponsive_count_ = unresponsive;
     }
-    // Moves on with what is counted; true when the state changed.
+    /// Moves to the health that follows from the counts and the time.
+    /// @return whether the health changed.
     bool update(Millis now);
-    DomainHealth health() const { return health_; }
-    Millis healthy_until() const { return healthy_until_; }
-    std::size_t up_count() const { return up_count_; }
-    std::size_t unresponsive_count() const { return unresponsive_count_; }
-    bool mostly_unresponsive() const {
-        return up_count_ >= 3 && unresponsive_count_ * 2 > up_count_;
-    }
+    [[nodiscard]] DomainHealth health() const { return health_; }
+    /// When the domain was last healthy; 0 if it has always been.
+    [[nodiscard]] Millis healthy_until() const { return healthy_until_; }
+    [[nodiscard]] std::size_t up_count() const { return up_count_; }
+    [[nodiscard]] std::size_t unresponsive_count() const { return unresponsive_count_; }
+    /// More than half, of at least three machines.
+    [[nodiscard]] bool mostly_unresponsive() const;
 
-    // May this machine be given up now? Takes from the ration if so.
-    bool may_give_up(const UnresponsiveMachine& machine, Millis patience, Millis now);
+    /// Whether this machine may be given up now. If so, that counts against the domain's rate.
+    /// @param boot_time how long another machine takes to boot: it is waited for that much longer.
+    [[nodiscard]] bool may_give_up(const UnresponsiveMachine& machine, Millis boot_time,
+                                   Millis now);
 
   private:
-    bool few_unresponsive() const;
-    bool many_unresponsive() const;
+    /// Who may use what part of the budget.
+    enum class BudgetClass {
+        preferred,  ///< gains most by being given up: may use all of it
+        ordinary,   ///< leaves half of what can be saved up to the preferred
+    };
+
+    [[nodiscard]] bool few_unresponsive() const;
+    [[nodiscard]] bool many_unresponsive() const;
+    /// Machines that may be given up in one second.
+    [[nodiscard]] double give_up_rate() const;
     void set_health(DomainHealth health, Millis now);
+    void update_degraded(Millis now);
     void refill_budget(Millis now);
-    bool take_budget(bool first, double price = 1);
+    [[nodiscard]] bool take_budget(BudgetClass budget_class, double price);
 
-    Millis settle_time_;  // those that answer again do so within this
+    Millis settle_time_;
     DomainHealth health_ = DomainHealth::healthy;
-    Millis since_ = 0;
-    Millis healthy_until_ = 0;           // when it was last clear
-    Millis few_unresponsive_since_ = 0;  // in clouded; 0: not few
-    std::size_t up_count_ = 0, unresponsive_count_ = 0;
-    double give_up_budget_ = 0;
-    Millis refilled_at_ = 0;
+    Millis health_since_ = 0;
+    Millis healthy_until_ = 0;
+    Millis few_unresponsive_since_ = 0;  // while degraded; 0: not few
+    std::size_t up_count_ = 0;
+    std::size_t unresponsive_count_ = 0;
+    double give_up_budget_ = 0;  // in machines
+    Millis refilled_at_ = 0;     // 0: never
 };
 
-// All domains of one book: the zones, and those of them together that are clear by themselves,
-// since a few of each zone may be many of all.
+/// All domains of one cluster state: its zones, and those zones together that are healthy by
+/// themselves, since a few machines of each zone may be many of all.
+///
+/// Owned and called by FailureDetector.
 class FailureDomains {
   public:
-    FailureDomains(double report_s, double lease_s);
+    FailureDomains(double heartbeat_interval_s, double lease_s);
 
-    void adjust_counts(Index zone, int up, int silent);
-    // The zones whose state changed; kNone stands for the clear ones together.
+    /// Changes a zone's counts. Zones are added as they are named.
+    void adjust_counts(Index zone, int up, int unresponsive);
+    /// @return the zones whose health changed; kNone stands for the healthy zones together.
     std::vector<Index> update(Millis now);
-    DomainHealth health(Index zone) const;
-    // Neither new work nor new machines are of use there.
-    bool is_lost(Index z) const {
-        return z < zones_.size() && zones_[z].health() == DomainHealth::lost;
-    }
-    bool may_give_up(Index zone, const UnresponsiveMachine& machine, Millis patience, Millis now);
-    // Nobody answers anywhere: rather this node's trouble than theirs.
-    bool all_mostly_unresponsive() const;
-    const FailureDomain& zone(Index z) const {
-        return z < zones_.size() ? zones_[z] : healthy_zones_combined_;
+    /// The zone's health; if it is healthy by itself, that of the healthy zones together.
+    [[nodiscard]] DomainHealth health(Index zone) const;
+    /// Whether neither new work nor new machines are of use in the zone.
+    [[nodiscard]] bool is_lost(Index zone) const;
+    /// FailureDomain::may_give_up of the zone, or of the healthy zones together.
+    [[nodiscard]] bool may_give_up(Index zone, const UnresponsiveMachine& machine, Millis boot_time,
+                                   Millis now);
+    /// Whether most machines of every zone are unresponsive: this controller is likelier to be cut
+    /// off than they are.
+    [[nodiscard]] bool all_mostly_unresponsive() const;
+    /// The zone, or the healthy zones together for kNone and zones without machines.
+    [[nodiscard]] const FailureDomain& zone(Index zone) const {
+        return zone < zones_.size() ? zones_[zone] : healthy_zones_combined_;
     }
 
   private:
     Millis settle_time_;
     FailureDomain healthy_zones_combined_;
-    std::vector<FailureDomain> zones_;
+    std::vector<FailureDomain> zones_;  // by index
 };
 
 }  // namespace nickelramp::failure
--- a/src/partition/partition_responder.h
+++ b/src/partition/partition_responder.h
@@ -1,14 +1,13 @@
-// Deputies: a controller that a cut leaves alone with its zone's machines goes on answering their
-// reports, so that what runs there runs on. It starts and stops nothing. What it cannot know are
-// cancellations that came after its last news from the leader: users are told of one only when it
-// is over (docs/design/domains.md).
+/// @file
+/// Replying to heartbeats inside a network partition: a controller that a partition leaves alone
+/// with its zone's machines goes on replying to them, so that what runs there keeps its leases. It
+/// starts and stops nothing. What it cannot know are cancellations later than its last message from
+/// the leader: users are told of a cancellation only when it is complete (docs/design/domains.md).
 #pragma once
-#include <map>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <unordered_map>
-#include <utility>
-#include <vector>
 
 #include "base/time.h"
 #include "machines/worker_channel.h"
@@ -18,82 +17,69 @@
 
 namespace nickelramp::partition {
 
-// How long a node that cannot reach the state service may go on answering workers where users may
-// be told of a cancellation at once: it must still be over within cancel_s.
-Millis max_response_bound(const wire::Settings& settings);
-// And where they are told when the tasks are gone, so that only the wait for leases to end bounds
-// it.
-Millis longest_response_window(const wire::Settings& settings);
-// By when every lease is over that somebody else may have given by what was known until now.
-Millis last_possible_lease_end(const wire::Settings& settings, Millis now);
+/// How long, in milliseconds, a controller that cannot reach the state service may go on replying
+/// to workers if users may be told of a cancellation at once: the tasks must still end within
+/// `cancel_s`.
+[[nodiscard]] Millis max_response_bound(const wire::Settings& settings);
 
-// none:      no leave, or one that has ended
-// standing:  has a leave; the leader or the state service answers, so there is nothing to do
-// answering: neither does; reports are answered until the leave ends
-enum class PartitionState { no_delegation, standby, responding };
-const char* name(PartitionState state);
+/// The same if users are told when the tasks are gone: only the wait for leases to end bounds it.
+[[nodiscard]] Millis longest_response_window(const wire::Settings& settings);
 
-// The controller's side: what the leader lets it do, and whether it is time to.
+/// By when every lease has expired that another controller may have renewed until now, whatever it
+/// knew.
+[[nodiscard]] Millis last_possible_lease_end(const wire::Settings& settings, Millis now);
+
+/// What a PartitionResponder does.
+enum class PartitionState {
+    no_delegation,  ///< it has no delegation, or the last one has expired
+    standby,        ///< it has one; the leader or the state service is heard, so it is not needed
+    responding,     ///< neither is heard: it replies to heartbeats until the delegation expires
+};
+[[nodiscard]] const char* name(PartitionState state);
+
+/// Replies to heartbeats in the leader's name: the side of the controller that is not the leader.
+///
+/// Guarantees:
+/// - It replies only while it hears neither the leader nor the state service, and only within the
+///   delegation's response window, counted from the last cancellation that the leader knew of.
+/// - It replies under the token that the heartbeat carries, never where another controller has been
+///   granted the machine, or may have been since the delegation was sent.
+/// - It does not reply to copies of heartbeats, nor to workers that do not receive its replies.
+///
+/// Called by HeartbeatHandler (heartbeats) and the controller (delegations, status, every tick).
+/// Runs on the one loop thread; `now` is steady time in milliseconds. Lives as long as its process;
+/// the settings must outlive it.
 class PartitionResponder {
   public:
     explicit PartitionResponder(const wire::Settings& settings) : settings_(settings) {}
 
+    /// Takes over a delegation from the leader. Ignored if it is for another process than the one
+    /// with this incarnation, or older than the one known.
     void on_delegation(const peers::HeartbeatDelegation& delegation, std::uint64_t incarnation,
                        Millis now);
-    // When the leader and the state service were last heard.
-    void update(Millis leader_at, Millis state_at, Millis now);
-    // The token to answer the report with; nothing when it may not be answered.
-    std::optional<std::uint64_t> token_for_reply(const wire::Heartbeat& heartbeat, bool follows,
-                                                 Millis now);
-    // What the leader must know of it; into the status that goes out.
+    /// Moves to the state that follows from when the leader and the state service were last heard.
+    void update(Millis leader_heard_at, Millis state_service_heard_at, Millis now);
+    /// The token to reply to the heartbeat with; nothing if it may not be replied to.
+    /// @param follows see machines::HeartbeatArrival.
+    [[nodiscard]] std::optional<std::uint64_t> token_for_reply(const wire::Heartbeat& heartbeat,
+                                                               bool follows, Millis now);
+    /// Adds to an outgoing status what the leader's HeartbeatDelegator must know.
     void fill_status(peers::Status& status, Millis now) const;
-    PartitionState state() const { return state_; }
-    std::uint64_t term() const { return delegation_.term; }  // in whose name it answers
+    [[nodiscard]] PartitionState state() const { return state_; }
+    /// The term in whose leader's name it replies; 0 if it has had no delegation.
+    [[nodiscard]] std::uint64_t term() const { return delegation_.term; }
 
   private:
     void set_state(PartitionState state);
+    [[nodiscard]] bool is_delegated(std::uint64_t token) const;
+    [[nodiscard]] machines::WorkerChannel* channel_of(const std::string& machine, Millis now);
 
     const wire::Settings& settings_;
     PartitionState state_ = PartitionState::no_delegation;
     peers::HeartbeatDelegation delegation_;
-    Millis cancellations_known_until_ = 0;  // every cancellation up to then was known to the leader
-    Millis last_reply_at_ = 0;
-    std::unordered_map<std::string, machines::WorkerChannel> channels_;  // while it answers
-};
-
-// The leader's side: who may have answered in its name, and until when.
-class HeartbeatDelegator {
-  public:
-    explicit HeartbeatDelegator(const wire::Settings& settings) : settings_(settings) {}
-
-    void on_peer_status(const peers::Status& status, std::uint64_t term, Millis now);
-    // The leaves to send now. `lent`: the tokens of blocks that others hold; `highest`: no token
-    // beyond it has been granted.
-    std::vector<std::pair<std::string, peers::HeartbeatDelegation>> delegations(
-        std::uint64_t term, std::uint64_t highest, const std::vector<std::uint64_t>& lent,
-        Millis view_fresh, Millis now);
-    // Is a lease that this leader's own answers let last until then over, whatever deputies did?
-    bool lease_expired(Millis lease_until, Millis now) const;
-    // How long this leader and its deputies may answer without news: the longest if every
-    // controller tells of a cancellation only when it is over.
-    Millis response_window() const;
-    // By when it is over at the latest, as far as is known.
-    Millis lease_end_at_latest(Millis lease_until) const;
-
-  private:
-    struct Entry {
-        std::uint64_t incarnation = 0, clock_ms = 0;
-        Millis last_status_at = 0;
-        bool confirms_cancellations = false;
-        Millis view = 0;              // of the last leave sent; 0: none was
-        Millis no_replies_until = 0;  // it had answered nothing that is not told below
-        Millis last_reply_at = 0;     // the last that it told of; 0: none
-    };
-    Millis lease_after(Millis answered) const;
-
-    const wire::Settings& settings_;
-    std::map<std::string, Entry> peers_;
-    std::vector<Millis> departed_views_;  // views of processes that have ended since
+    Millis cancellations_known_until_ = 0;  // the leader knew every cancellation up to then
+    Millis last_reply_at_ = 0;              // 0: none
+    std::unordered_map<std::string, machines::WorkerChannel> channels_;  // while it responds
 };
 
 }  // namespace nickelramp::partition
