--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -22,6 +22,7 @@
 #include "lifecycle/job_lifecycle.h"
 #include "machines/heartbeat_reply.h"
 #include "machines/worker_capacity.h"
+#include "partition/heartbeat_delegator.h"
 #include "partition/partition_responder.h"
 #include "peers/messages.h"
 #include "scheduling/job_queue.h"
@@ -112,8 +113,8 @@
         shard_allocator_.on_shard_status(shard_status, now);
     }
     // The leaves to send now, to those that may answer machines when the leader is out of reach.
-    std::vector<std::pair<std::string, peers::HeartbeatDelegation>> heartbeat_delegations(
-        Millis view_fresh, Millis now);
+    std::vector<partition::AddressedDelegation> heartbeat_delegations(Millis view_fresh,
+                                                                      Millis now);
     Millis max_response_window() const { return heartbeat_delegator_.response_window(); }
     std::vector<peers::Status::LostZone> lost_zones(Millis now) const {
         return failure_detector_.lost_zones(now);
