--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -1,11 +1,13 @@
-// Silence that many machines share: what is given up, who goes on answering, and what becomes of
-// it. Properties are tried on random days whose failures shrink; seeds are fixed.
+// Many machines that are unresponsive together: which are given up, who replies to them meanwhile,
+// and what becomes of their tasks. Properties are checked on random event sequences, which
+// RapidCheck shrinks when one fails; seeds are fixed.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
 #include <cstdlib>
 
 #include "failure/failure_domains.h"
+#include "partition/heartbeat_delegator.h"
 #include "partition/partition_responder.h"
 #include "tests/cluster_simulation.h"
 
@@ -23,47 +25,48 @@
 
 const int kSeeded = setenv("RC_PARAMS", "seed=11 max_success=300", 0);
 
-// Whatever falls silent and comes back, and whoever asks for how many: outside clear weather no
-// more is given up than the ration, and in the dark nothing whose lease lasts longer than a move
-// takes.
+// Whatever machines become unresponsive and come back, and however many are asked about: outside
+// healthy domains no more are given up than the rate allows, and in a lost one only stuck machines
+// whose lease lasts longer than moving takes.
 TEST(FailureDetector, GivingUpMachinesIsRateLimited) {
     ASSERT_EQ(kSeeded, 0);
     EXPECT_TRUE(rc::check([] {
-        FailureDomains d(5, 31);
+        FailureDomains domains(5, 31);
         const int up = *rc::gen::inRange(8, 400);
-        d.adjust_counts(0, up, 0);
-        int silent = 0, given = 0;
-        Millis now = 1'000, cloudy_since = 0;
+        domains.adjust_counts(0, up, 0);
+        int unresponsive = 0, given_up = 0;
+        Millis now = 1'000, unhealthy_since = 0;
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 100), rc::gen::inRange(0, 30)));
         for (auto [percent, asks] : steps) {
             const int wanted = up * percent / 100;
-            d.adjust_counts(0, 0, wanted - silent);
-            silent = wanted;
+            domains.adjust_counts(0, 0, wanted - unresponsive);
+            unresponsive = wanted;
             now += 500;
-            d.update(now);
-            const DomainHealth health = d.health(0);
+            domains.update(now);
+            const DomainHealth health = domains.health(0);
             test::test_trace().add(now, "sky", static_cast<int>(health));
             RC_ASSERT((health == DomainHealth::lost) ==
-                      (silent * 2 > up || (silent >= 4 && silent >= 0.3 * up)));
+                      (unresponsive * 2 > up || (unresponsive >= 4 && unresponsive >= 0.3 * up)));
             if (health == DomainHealth::healthy) {
-                cloudy_since = given = 0;
-                RC_ASSERT(d.may_give_up(0, {}, 0, now));
+                unhealthy_since = given_up = 0;
+                RC_ASSERT(domains.may_give_up(0, {}, 0, now));
                 continue;
             }
-            if (cloudy_since == 0) cloudy_since = now;
+            if (unhealthy_since == 0) unhealthy_since = now;
             for (int i = 0; i < asks; ++i) {
                 UnresponsiveMachine machine;
                 machine.stuck = i % 7 == 0;
                 machine.has_gangs_or_services = i % 2 == 0;
                 machine.lease_until = now + 20'000;
-                const bool yes = d.may_give_up(0, machine, 10'000, now);
-                given += yes ? 1 : 0;
-                test::test_trace().add(now, "give-up", yes);
-                if (health == DomainHealth::lost) RC_ASSERT(!yes || machine.stuck);
+                const bool allowed = domains.may_give_up(0, machine, 10'000, now);
+                given_up += allowed ? 1 : 0;
+                test::test_trace().add(now, "give-up", allowed);
+                if (health == DomainHealth::lost) RC_ASSERT(!allowed || machine.stuck);
             }
             const double rate = std::max(1.0, 0.02 * up);
-            RC_ASSERT(given <= rate * (2 + static_cast<double>(now - cloudy_since) / 1000.0) + 1);
+            const double unhealthy_s = static_cast<double>(now - unhealthy_since) / 1000.0;
+            RC_ASSERT(given_up <= rate * (2 + unhealthy_s) + 1);
         }
     }));
 }
@@ -80,154 +83,160 @@
     const Millis boot = 60'000;
     EXPECT_FALSE(domain.may_give_up(replicas, boot, 20'000));
     EXPECT_TRUE(domain.may_give_up(replicas, boot, 30'000));
-    // Their leases free them by themselves; the machine may come back with its images.
+    // Array tasks end with their leases by themselves; the machine may come back with its images.
     EXPECT_FALSE(domain.may_give_up(arrays, boot, 99'000));
     EXPECT_TRUE(domain.may_give_up(arrays, boot, 101'000));
 }
 
 TEST(FailureDetector, ALeaderIsIsolatedOnlyIfNoZoneAnswers) {
-    FailureDomains d(5, 31);
-    d.adjust_counts(0, 50, 0);
-    d.adjust_counts(1, 50, 50);
-    EXPECT_FALSE(d.all_mostly_unresponsive());
-    d.adjust_counts(0, 0, 30);
-    EXPECT_TRUE(d.all_mostly_unresponsive());
+    FailureDomains domains(5, 31);
+    domains.adjust_counts(0, 50, 0);
+    domains.adjust_counts(1, 50, 50);
+    EXPECT_FALSE(domains.all_mostly_unresponsive());
+    domains.adjust_counts(0, 0, 30);
+    EXPECT_TRUE(domains.all_mostly_unresponsive());
 }
 
-// The leader believes a lease to be over only when it is, whatever deputies did meanwhile: they are
-// cut off, come back, end and begin anew; messages are lost; the worker takes any answer.
+// The leader takes a lease for expired only when it is, whatever partition responders did
+// meanwhile: they are cut off, come back and restart; messages are lost; the worker accepts any
+// reply.
 TEST(FailureDetector, ALeaseIsExpiredOnlyIfNobodyCanHaveRenewedIt) {
-    std::size_t overs = 0, renewals = 0;
+    std::size_t expirations = 0, renewals = 0;
     EXPECT_TRUE(rc::check([&] {
         wire::Settings settings = test::simulation_settings();
         settings.peers = {{"holder-0", "a", "x"}, {"holder-1", "b", "x"}};
         partition::HeartbeatDelegator leader(settings);
         struct Peer {
-            std::unique_ptr<partition::PartitionResponder> deputy;
+            std::unique_ptr<partition::PartitionResponder> responder;
             std::uint64_t incarnation = 0;
-            Millis leader_at = 0;
-            bool cut = false;
+            Millis leader_heard_at = 0;
+            bool partitioned = false;
         };
         Peer peers[2];
         for (Peer& peer : peers)
-            peer.deputy = std::make_unique<partition::PartitionResponder>(settings);
+            peer.responder = std::make_unique<partition::PartitionResponder>(settings);
         std::uint64_t incarnations = 0;
         for (Peer& peer : peers) peer.incarnation = ++incarnations;
         wire::Heartbeat heartbeat;
         heartbeat.incarnation = 1;
         heartbeat.token = shards::grant_token(7, 3);
-        Millis lease_until = 0;  // as the leader's own answers let it last
-        Millis really = 0;       // as the worker has it
-        bool heard = true;       // the worker reaches the leader
-        const auto days = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
+        Millis lease_until = 0;         // as the leader's own replies let it last
+        Millis worker_lease_until = 0;  // as the worker has it
+        bool reaches_leader = true;     // the worker's heartbeats do
+        const auto events = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
+        const int kNoEvent = 99;
         Millis now = 10'000;
-        std::size_t k = 0;
+        std::size_t next_event = 0;
         for (int second = 0; second < 200; ++second, now += 1'000) {
-            const int event = k < days.size() ? days[k] : 99;
-            ++k;
-            if (event < 2) peers[event].cut = !peers[event].cut;
-            if (event == 2) heard = !heard;
+            const int event = next_event < events.size() ? events[next_event] : kNoEvent;
+            ++next_event;
+            if (event < 2) peers[event].partitioned = !peers[event].partitioned;
+            if (event == 2) reaches_leader = !reaches_leader;
             if (event == 3 || event == 4) {
                 Peer& peer = peers[event - 3];
-                peer.deputy = std::make_unique<partition::PartitionResponder>(settings);
+                peer.responder = std::make_unique<partition::PartitionResponder>(settings);
                 peer.incarnation = ++incarnations;
-                peer.leader_at = 0;
+                peer.leader_heard_at = 0;
             }
-            const bool lost = event >= 5 && event < 10;  // the leader's leaves, on the way
+            const bool delegations_lost = event >= 5 && event < 10;
             for (int i = 0; i < 2; ++i) {
-                if (peers[i].cut) continue;
+                if (peers[i].partitioned) continue;
                 peers::Status status;
                 status.from = settings.peers[static_cast<std::size_t>(i)].name;
                 status.incarnation = peers[i].incarnation;
                 status.clock_ms = static_cast<std::uint64_t>(now + 5'000 * (i + 1));
-                peers[i].deputy->fill_status(status, now + 5'000 * (i + 1));
+                peers[i].responder->fill_status(status, now + 5'000 * (i + 1));
                 leader.on_peer_status(status, 7, now);
             }
-            for (auto& [to, leave] :
+            for (auto& [to, delegation] :
                  leader.delegations(7, shards::grant_token(7, 9), {}, now - 300, now)) {
                 Peer& peer = peers[to == "holder-0" ? 0 : 1];
-                const Millis theirs = now + 5'000 * (to == "holder-0" ? 1 : 2);
-                if (peer.cut || lost) continue;
-                peer.leader_at = theirs;
-                peer.deputy->on_delegation(leave, peer.incarnation, theirs);
+                const Millis peer_now = now + 5'000 * (to == "holder-0" ? 1 : 2);
+                if (peer.partitioned || delegations_lost) continue;
+                peer.leader_heard_at = peer_now;
+                peer.responder->on_delegation(delegation, peer.incarnation, peer_now);
             }
-            if (now >= really && lease_until != 0 && leader.lease_expired(lease_until, now)) {
-                ++overs;
-                break;  // its tasks may be elsewhere by now
+            const bool worker_lease_expired = now >= worker_lease_until;
+            if (worker_lease_expired && lease_until != 0 &&
+                leader.lease_expired(lease_until, now)) {
+                ++expirations;
+                break;  // its tasks may run elsewhere by now
             }
             RC_ASSERT(lease_until == 0 || !leader.lease_expired(lease_until, now));
-            if (lease_until != 0 && now >= really) continue;  // the next session
-            if (heard && event % 3 != 0) {
+            if (lease_until != 0 && worker_lease_expired) continue;  // a later incarnation's
+            if (reaches_leader && event % 3 != 0) {
                 lease_until = now + with_clock_drift(seconds(settings.lease_s)) + 500;
-                really = now + seconds(settings.lease_s);
+                worker_lease_until = now + seconds(settings.lease_s);
                 continue;
             }
             for (int i = 0; i < 2; ++i) {
-                const Millis theirs = now + 5'000 * (i + 1);
-                peers[i].deputy->update(peers[i].leader_at, peers[i].leader_at, theirs);
+                Peer& peer = peers[i];
+                const Millis peer_now = now + 5'000 * (i + 1);
+                peer.responder->update(peer.leader_heard_at, peer.leader_heard_at, peer_now);
                 ++heartbeat.sequence;
-                if (!peers[i].deputy->token_for_reply(heartbeat, true, theirs)) continue;
-                really = now + seconds(settings.lease_s);
+                if (!peer.responder->token_for_reply(heartbeat, true, peer_now)) continue;
+                worker_lease_until = now + seconds(settings.lease_s);
                 ++renewals;
             }
         }
     }));
-    EXPECT_GT(overs, 20u);
+    EXPECT_GT(expirations, 20u);
     EXPECT_GT(renewals, 100u);
 }
 
 TEST(FailureDetector, APartitionResponderRepliesOnlyWithinItsDelegation) {
     wire::Settings settings = test::simulation_settings();
-    partition::PartitionResponder d(settings);
-    peers::HeartbeatDelegation l;
-    l.from = "leader";
-    l.term = 7;
-    l.incarnation = 3;
-    l.status_clock_ms = 10'000;
-    l.clock_ms = 1;
-    l.view_age_ms = 500;
-    l.response_window_ms = 30'000;
-    l.highest_token = shards::grant_token(7, 5);
-    l.delegated_tokens = {shards::grant_token(7, 4)};
+    partition::PartitionResponder responder(settings);
+    peers::HeartbeatDelegation delegation;
+    delegation.from = "leader";
+    delegation.term = 7;
+    delegation.incarnation = 3;
+    delegation.status_clock_ms = 10'000;
+    delegation.clock_ms = 1;
+    delegation.view_age_ms = 500;
+    delegation.response_window_ms = 30'000;
+    delegation.highest_token = shards::grant_token(7, 5);
+    delegation.delegated_tokens = {shards::grant_token(7, 4)};
     wire::Heartbeat heartbeat;
     heartbeat.incarnation = 1;
     heartbeat.token = shards::grant_token(7, 2) + 9;
-    auto answers = [&](Millis now) {
-        d.update(10'000, 10'000, now);
+    auto reply_token = [&](Millis now) {
+        responder.update(10'000, 10'000, now);
         ++heartbeat.sequence;
-        return d.token_for_reply(heartbeat, true, now);
+        return responder.token_for_reply(heartbeat, true, now);
     };
-    EXPECT_FALSE(answers(20'000));  // no leave
-    d.on_delegation(l, 4, 10'100);  // of another process
-    EXPECT_FALSE(answers(20'000));
-    d.on_delegation(l, 3, 10'100);
-    EXPECT_FALSE(answers(12'000));  // the leader may well be there
-    EXPECT_EQ(answers(20'000), heartbeat.token);
-    EXPECT_TRUE(answers(39'000));
-    EXPECT_FALSE(answers(39'500));  // its knowledge is too old
+    EXPECT_FALSE(reply_token(20'000)) << "no delegation";
+    responder.on_delegation(delegation, 4, 10'100);
+    EXPECT_FALSE(reply_token(20'000)) << "a delegation for another process";
+    responder.on_delegation(delegation, 3, 10'100);
+    EXPECT_FALSE(reply_token(12'000)) << "the leader may be heard again";
+    EXPECT_EQ(reply_token(20'000), heartbeat.token);
+    EXPECT_TRUE(reply_token(39'000));
+    EXPECT_FALSE(reply_token(39'500)) << "what it knows of cancellations is too old";
     for (std::uint64_t token : {shards::grant_token(6, 2), shards::grant_token(8, 2),
                                 shards::grant_token(7, 4) + 1, shards::grant_token(7, 6)}) {
         heartbeat.token = token;
-        EXPECT_FALSE(answers(20'000)) << token;
+        EXPECT_FALSE(reply_token(20'000)) << token;
     }
 }
 
-// A calm day of replicas, five machines and more in each of two zones.
-std::unique_ptr<ClusterSimulation> settled(std::uint64_t seed, std::uint32_t share) {
+// Twelve services that run undisturbed, on five machines or more in each of two zones.
+std::unique_ptr<ClusterSimulation> simulation_with_running_services(std::uint64_t seed,
+                                                                    std::uint32_t share) {
     auto simulation = std::make_unique<ClusterSimulation>(seed, Faults{}, share);
     for (int n = 0; n < 12; ++n) {
-        auto j = job("job-" + std::to_string(n), "standing", 2, 0);
-        j["cores"] = 8.0;
-        j["scatter"] = true;
-        simulation->submit(j);
+        auto spec = job("job-" + std::to_string(n), "standing", 2, 0);
+        spec["cores"] = 8.0;
+        spec["scatter"] = true;
+        simulation->submit(spec);
     }
     simulation->run_until(100'000);
     return simulation;
 }
 
-// The service once returned every machine of a zone within ten seconds of its being cut off.
+// The scheduler once released every machine of a zone within ten seconds of its being cut off.
 TEST(FailureDetector, AZonePartitionedForLessThanALeaseLosesNothing) {
-    auto simulation = settled(401, 0);
+    auto simulation = simulation_with_running_services(401, 0);
     const std::size_t before = simulation->running_tasks("b"), starts = simulation->started_tasks();
     ASSERT_GE(before, 10u);
     simulation->partition(
@@ -239,13 +248,13 @@
 }
 
 TEST(FailureDetector, AResponderInAPartitionedZoneKeepsItRunningBeyondALease) {
-    auto simulation = settled(402, 1);
+    auto simulation = simulation_with_running_services(402, 1);
     const std::size_t before = simulation->running_tasks("b"), starts = simulation->started_tasks();
     ASSERT_GE(before, 10u);
     simulation->partition(
         {.zone = "b", .includes_controller = true, .from = 100'000, .until = 135'000});
     simulation->run_until(110'000);
-    simulation->fail_over();  // and the successor minds what it cannot know
+    simulation->fail_over();  // the next leader does not know who replied in the meantime
     simulation->run_until(170'000);
     EXPECT_EQ(simulation->running_tasks("b"), before);
     EXPECT_EQ(simulation->tasks_killed_by_lease(), 0u);
@@ -253,36 +262,38 @@
     EXPECT_GT(simulation->replies_by_responders(), 10u);
 }
 
-// Nobody is inside, and the zone comes back half a boot after its leases ended. Its machines are
-// still there, with their images: every second one was once returned at the leases' end, for arrays
-// that the lease frees anyway, or for one replica of several that had a place elsewhere.
+// No controller is in the zone, and it comes back half a boot time after its leases ended. Its
+// machines are still there, with their images: every second one was once released when the leases
+// ended, for arrays that the lease ends anyway, or for one replica of several that had a slot
+// elsewhere.
 TEST(FailureDetector, AZoneThatReturnsSoonAfterItsLeasesKeepsItsMachines) {
     for (std::uint64_t seed = 430; seed < 434 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
-        auto simulation = settled(seed, 0);
+        auto simulation = simulation_with_running_services(seed, 0);
         for (int n = 0; n < 6; ++n) {
-            // Three replicas: of two in one zone, one may go to the other.
-            auto j = job("job-" + std::to_string(50 + n), "standing", 3, 0);
-            j["cores"] = 2.0;
-            j["scatter"] = true;
-            simulation->submit(j);
+            // Three replicas: if two are in one zone, one of them may go to the other.
+            auto spec = job("job-" + std::to_string(50 + n), "standing", 3, 0);
+            spec["cores"] = 2.0;
+            spec["scatter"] = true;
+            simulation->submit(spec);
             simulation->submit(job("job-" + std::to_string(60 + n), "sweep", 8, 1));
         }
         simulation->run_until(112'000);
         const std::size_t before = simulation->running_tasks("a") + simulation->running_tasks("b");
         ASSERT_GE(before, 30u);
-        const std::size_t returned = simulation->released_machines("b");
+        const std::size_t released = simulation->released_machines("b");
         simulation->partition(
             {.zone = "b", .delays_commands = true, .from = 112'000, .until = 137'000});
         simulation->run_until(136'000);
-        EXPECT_EQ(simulation->released_machines("b"), returned) << "of the zone that will be back";
+        EXPECT_EQ(simulation->released_machines("b"), released) << "of the zone that will be back";
         simulation->run_until(165'000);
         EXPECT_GE(simulation->running_tasks("b"), 12u);
     }
 }
 
-// Parts of a zone that are cut off or hang, for less and more than a lease, with and without a
-// deputy inside, in pairs, with a take-over in the middle: no rule breaks, and all ends.
+// Parts of a zone that are cut off or whose messages hang, for less and more than a lease, with and
+// without a partition responder inside, in pairs, with a failover in the middle: the simulation's
+// invariants hold, and every job ends.
 TEST(FailureDetector, PairsOfPartitionsOfEveryKind) {
     std::uint64_t seed = 500;
     for (double part : {0.1, 0.4, 1.0}) {
@@ -292,20 +303,20 @@
                 SCOPED_TRACE(testing::Message()
                              << "part " << part << " for " << length << " kind " << kind);
                 ClusterSimulation simulation(++seed, {}, 1);
-                std::vector<std::string> ids, replicas;
+                std::vector<std::string> ids, services;
                 std::mt19937_64 random(seed);
-                auto enter = [&](int n) {
+                auto submit_job = [&](int n) {
                     const char* shapes[] = {"standing", "sweep", "ensemble"};
-                    auto j = job("job-" + std::to_string(n), shapes[n % 3], 1 + random() % 4,
-                                 1 + static_cast<double>(random() % 2));
-                    if (n % 3 == 0) j["scatter"] = true;
-                    if (n % 3 == 2) j["one_zone"] = true;
-                    if (n % 4 == 1) j["standby"] = true;
-                    ids.push_back(j["id"]);
-                    if (n % 3 == 0) replicas.push_back(ids.back());
-                    simulation.submit(j);
+                    auto spec = job("job-" + std::to_string(n), shapes[n % 3], 1 + random() % 4,
+                                    1 + static_cast<double>(random() % 2));
+                    if (n % 3 == 0) spec["scatter"] = true;
+                    if (n % 3 == 2) spec["one_zone"] = true;
+                    if (n % 4 == 1) spec["standby"] = true;
+                    ids.push_back(spec["id"]);
+                    if (n % 3 == 0) services.push_back(ids.back());
+                    simulation.submit(spec);
                 };
-                for (int n = 0; n < 9; ++n) enter(n);
+                for (int n = 0; n < 9; ++n) submit_job(n);
                 simulation.run_until(40'000);
                 Partition first{"b",       part,   kind == 1,      kind == 2,
                                 kind == 3, 40'000, 40'000 + length};
@@ -315,31 +326,32 @@
                 simulation.partition(second);
                 for (int n = 9; n < 15; ++n) {
                     simulation.run_until(simulation.now() + 3'000);
-                    enter(n);
-                    if (n == 11) simulation.cancel(replicas.front());
+                    submit_job(n);
+                    if (n == 11) simulation.cancel(services.front());
                     if (n == 12 && seed % 2 == 0) simulation.fail_over();
                 }
                 simulation.run_until(130'000);
-                for (const auto& id : replicas) simulation.cancel(id);
-                auto open = [&] {
+                for (const auto& id : services) simulation.cancel(id);
+                auto unfinished_jobs = [&] {
                     std::string out;
                     for (const auto& id : ids)
                         out += simulation.final_state(id).empty() ? id + " " : "";
                     return out;
                 };
-                while (!open().empty() && simulation.now() < 1'200'000 && !HasFailure()) {
+                while (!unfinished_jobs().empty() && simulation.now() < 1'200'000 &&
+                       !HasFailure()) {
                     simulation.run_until(simulation.now() + 5'000);
                 }
-                EXPECT_EQ(open(), "") << simulation.describe_running();
+                EXPECT_EQ(unfinished_jobs(), "") << simulation.describe_running();
             }
         }
     }
 }
 
-// Spot machines that were taken without notice are gone from the cloud's list: that is known long
-// before a lease is over, however many are silent.
+// Spot machines that the cloud took without notice are missing from its list: that is known long
+// before a lease expires, however many machines are unresponsive.
 TEST(FailureDetector, MachinesTheCloudNoLongerListsAreGone) {
-    auto simulation = settled(403, 0);
+    auto simulation = simulation_with_running_services(403, 0);
     const std::size_t before = simulation->running_tasks("b"), starts = simulation->started_tasks();
     simulation->preempt_zone("b");
     simulation->run_until(118'000);  // the last leases would end at 120 s
