--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -25,6 +25,7 @@
 #include "lifecycle/job_lifecycle.h"
 #include "machines/heartbeat_reply.h"
 #include "machines/worker_capacity.h"
+#include "partition/heartbeat_delegator.h"
 #include "partition/partition_responder.h"
 #include "peers/messages.h"
 #include "scheduling/job_queue.h"
@@ -152,7 +153,7 @@
         shard_allocator_.on_shard_status(shard_status, now);
     }
     /// The heartbeat delegations to send now, by peer; none while the lease is not confirmed.
-    std::vector<std::pair<std::string, peers::HeartbeatDelegation>> heartbeat_delegations(
+    [[nodiscard]] std::vector<partition::AddressedDelegation> heartbeat_delegations(
         Millis view_fresh, Millis now);
     /// How long this leader and its partition responders may answer heartbeats without learning of
     /// cancellations.
