--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -20,7 +20,7 @@
 
 /// A job that could start is held back for so long at the most by anything but a lack of machines
 /// and its team's limit, whatever is reserved for other work or suspected of the job
-/// (docs/design/waiting.md).
+/// (docs/design/waiting-jobs.md).
 inline constexpr Millis kMaxHoldBack = 60'000;
 
 enum class JobState {
--- a/src/machines/worker_channel.h
+++ b/src/machines/worker_channel.h
@@ -1,6 +1,6 @@
 /// \file
 /// What is known of the communication with one worker: which of its messages is the newest, what
-/// each of them proves, and whether ours reach it (docs/design/evidence.md).
+/// each of them proves, and whether ours reach it (docs/design/worker-evidence.md).
 ///
 /// A message tells of the moment at which it was made, and copies come late: that one arrives now
 /// proves nothing about now. Everything here is pure: times are arguments, in milliseconds of the
--- a/src/partition/partition_responder.h
+++ b/src/partition/partition_responder.h
@@ -2,7 +2,8 @@
 /// Replying to heartbeats inside a network partition: a controller that a partition leaves alone
 /// with its zone's machines goes on replying to them, so that what runs there keeps its leases. It
 /// starts and stops nothing. What it cannot know are cancellations later than its last message from
-/// the leader: users are told of a cancellation only when it is complete (docs/design/domains.md).
+/// the leader: users are told of a cancellation only when it is complete
+/// (docs/design/failure-domains.md).
 #pragma once
 #include <cstdint>
 #include <optional>
--- a/src/readiness/readiness.h
+++ b/src/readiness/readiness.h
@@ -51,7 +51,7 @@
     }
     /// Whether a leader should give up its term for a controller that is served. Not when it is cut
     /// off: the machines of its zone may be cut off with it, and as long as its lease lasts it
-    /// answers them (docs/design/domains.md). Its lease as leader then expires by itself.
+    /// answers them (docs/design/failure-domains.md). Its lease as leader then expires by itself.
     [[nodiscard]] bool should_hand_over() const {
         return state_ == ReadinessState::rejected && peers_served_;
     }
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,5 +1,5 @@
-// Two faults that meet (docs/design/meetings.md). Each test counts that the situation came about,
-// and fails if it did not; the simulation asserts the rules.
+// Two faults that meet (docs/design/combined-faults.md). Each test counts that the situation came
+// about, and fails if it did not; the simulation asserts the rules.
 #include "tests/combined_faults.h"
 
 #include <gtest/gtest.h>
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,5 +1,6 @@
 // One controller's work goes to another: what is in use at that moment, what is cancelled in it,
-// and what is heard late (docs/design/meetings.md). Each test counts that its meeting came about.
+// and what is heard late (docs/design/combined-faults.md). Each test counts that its meeting came
+// about.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -1,4 +1,4 @@
-// Every fault of a table with every other (docs/design/meetings.md).
+// Every fault of a table with every other (docs/design/combined-faults.md).
 #include <gtest/gtest.h>
 
 #include "tests/combined_faults.h"
--- a/tests/job_completion_test.cpp
+++ b/tests/job_completion_test.cpp
@@ -1,5 +1,5 @@
 // Transactions that are carried out at once and only whose answer is lost, and what meets the end
-// of a job (docs/design/meetings.md). Each test counts that its meeting came about.
+// of a job (docs/design/combined-faults.md). Each test counts that its meeting came about.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -1,7 +1,8 @@
 // Machines, zones and controllers that come within reach or go out of it: machines that boot at
 // once, inbound-only machines, a partition of a zone and all controllers down for longer than a
-// lease, leaders that follow one another quickly, jobs bound to one zone (docs/design/meetings.md).
-// Each test counts that its case came about; the simulation checks the protocol's rules.
+// lease, leaders that follow one another quickly, jobs bound to one zone
+// (docs/design/combined-faults.md). Each test counts that its case came about; the simulation
+// checks the protocol's rules.
 #include <gtest/gtest.h>
 
 #include "machines/worker_channel.h"
--- a/tests/simulated_key_value_store.h
+++ b/tests/simulated_key_value_store.h
@@ -10,8 +10,9 @@
 
 namespace nickelramp::test {
 
-/// The kind of a transaction that a leader or shard holder commits, as docs/design/meetings.md
-/// lists them: "end", "block", "intent", "checkpoint" or "left over".
+/// The kind of a transaction that a leader or shard holder commits, as
+/// docs/design/combined-faults.md lists them: "end", "block", "intent", "checkpoint" or "left
+/// over".
 const char* commit_kind(const kvstore::Transaction& transaction);
 
 /// Versioned keys with compare-and-swap transactions, a limit of writes, and outages. Asserts with
--- a/tests/waiting_jobs_test.cpp
+++ b/tests/waiting_jobs_test.cpp
@@ -1,6 +1,6 @@
 // Once the faults are over, no job is left waiting for 90 s while a machine that fits has free
-// capacity and its team is below its quota (docs/design/waiting.md). The simulation says what would
-// fit.
+// capacity and its team is below its quota (docs/design/waiting-jobs.md). The simulation says what
+// would fit.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
