--- a/src/api/job_request_handler.cpp
+++ b/src/api/job_request_handler.cpp
@@ -4,9 +4,9 @@
 
 #include <algorithm>
 #include <utility>
-#include <variant>
 
 #include "api/job_admission.h"
+#include "base/result.h"
 
 namespace nickelramp::api {
 
@@ -50,15 +50,14 @@
     Json open_record;
 };
 
-// For a submission that cannot be stored, the response that says why.
-std::variant<Submission, Response> read_submission(const std::string& body, std::int64_t wall_ms,
-                                                   double max_value_kb) {
+// The response to one that cannot be is the error.
+Result<Submission, Response> read_submission(const std::string& body, std::int64_t wall_ms,
+                                             double max_value_kb) {
     const auto map = wire::decode_map(body);
     if (!map || !wire::is_plain_json(*map))
         return failure(kBadRequest, "the body is no CBOR map of plain values");
-    std::string invalid_field;
-    auto spec = wire::parse_job(*map, invalid_field);
-    if (!spec) return failure(kBadRequest, "missing or invalid: " + invalid_field);
+    auto spec = wire::parse_job(*map);
+    if (!spec) return failure(kBadRequest, spec.error().message());
     Json open_record = jobs::encode_open_record(*map, wall_ms, false);
     const auto size = wire::json_size(open_record);
     if (!size) return failure(kBadRequest, "text is to be UTF-8");
@@ -136,7 +135,7 @@
 
 void JobRequestHandler::respond_with_recorded_status(const RecordedStatus& status,
                                                      const PendingRequest& request) {
-    TaskCounts counts;
+    wire::TaskCounts counts;
     JobStatus job_status = JobStatus::pending;
     if (status.final) {
         job_status = *status.final;
@@ -145,18 +144,17 @@
         counts = hooks_.progress(request.job_id);
         if (counts.running > 0) job_status = JobStatus::running;
     }
-    request.respond(success(
-        kOk, wire::encode_job_answer(request.job_id, job_status, counts.done, counts.running)));
+    request.respond(success(kOk, wire::encode_job_answer(request.job_id, job_status, counts)));
 }
 
 void JobRequestHandler::handle_submission(const net::Request& request, Respond respond) {
     if (request.method != "POST") return respond(failure(kMethodNotAllowed, "use POST"));
     if (is_overloaded()) return respond(try_again());
     auto submission = read_submission(request.body, hooks_.wall_ms(), settings_.state_value_kb);
-    if (const auto* rejection = std::get_if<Response>(&submission)) return respond(*rejection);
+    if (!submission) return respond(submission.error());
     if (!has_machine_types()) return respond(try_again());  // what can run is not known yet
-    auto& [spec, open_record] = std::get<Submission>(submission);
-    submit(spec, std::move(open_record), make_request(spec.id, kChangeTimeout, std::move(respond)));
+    submit(submission->spec, std::move(submission->open_record),
+           make_request(submission->spec.id, kChangeTimeout, std::move(respond)));
 }
 
 void JobRequestHandler::submit(const wire::JobSpec& spec, Json open_record,
--- a/src/api/job_request_handler.h
+++ b/src/api/job_request_handler.h
@@ -17,11 +17,6 @@
 
 namespace nickelramp::api {
 
-/// Numbers of tasks of a job.
-struct TaskCounts {
-    std::uint64_t done = 0, running = 0;
-};
-
 /// Handles the requests of users. Every controller does so in the same way, leader or not:
 /// submissions and cancel requests are written to the key-value store, one record a job, and every
 /// status is a confirmed read, so that no controller gives an older one than another did. A user is
@@ -38,7 +33,7 @@
         /// Called with each response to a new submission, for the metrics.
         std::function<void(const char* request, int status, Millis duration)> on_answered;
         /// Numbers of tasks of an open job, for display; zero if they are not known.
-        std::function<TaskCounts(const std::string& id)> progress;
+        std::function<wire::TaskCounts(const std::string& id)> progress;
     };
     /// To be called once.
     using Respond = std::function<void(const net::Response&)>;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -74,11 +74,11 @@
                      [this](const std::string& id) {
                          if (control_loop_) {
                              const auto progress = control_loop_->progress(id);
-                             return api::TaskCounts{progress.done, progress.running};
+                             return wire::TaskCounts{progress.done, progress.running};
                          }
                          const auto it = displayed_progress_.find(id);
-                         if (it == displayed_progress_.end()) return api::TaskCounts{};
-                         return api::TaskCounts{it->second.first, it->second.second};
+                         if (it == displayed_progress_.end()) return wire::TaskCounts{};
+                         return wire::TaskCounts{it->second.first, it->second.second};
                      }}),
       election_(loop, state_client_, settings.name, seed_of(settings.name),
                 {[this](std::uint64_t term, std::uint64_t version) { on_elected(term, version); },
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -62,13 +62,12 @@
     }
     std::stringstream text;
     text << file.rdbuf();
-    nickelramp::wire::Settings settings;
-    try {
-        settings = nickelramp::wire::parse_settings(text.str());
-    } catch (const std::exception& e) {
-        std::cerr << e.what() << "\n";
+    const auto parsed = nickelramp::wire::parse_settings(text.str());
+    if (!parsed) {
+        std::cerr << parsed.error().message() << "\n";
         return kBadInput;
     }
+    const nickelramp::wire::Settings& settings = *parsed;
     if (check) {
         std::cout << "settings are fine\n";
         return 0;
--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -227,9 +227,12 @@
         err << file << ": " << e.what() << "\n";
         return std::nullopt;
     }
-    std::string error;
-    if (!job.is_object() || !wire::parse_job(job, error)) {
-        err << file << ": missing or invalid: " << (job.is_object() ? error : "a map") << "\n";
+    if (!job.is_object()) {
+        err << file << ": missing or invalid: a map\n";
+        return std::nullopt;
+    }
+    if (const auto spec = wire::parse_job(job); !spec) {
+        err << file << ": " << spec.error().message() << "\n";
         return std::nullopt;
     }
     return job;
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -84,8 +84,7 @@
 std::optional<OpenRecord> decode_open_record(const wire::Json& value) {
     const wire::Json* spec = wire::field(value, "spec");
     if (spec == nullptr) return std::nullopt;
-    std::string error;
-    auto parsed = wire::parse_job(*spec, error);
+    auto parsed = wire::parse_job(*spec);
     if (!parsed) return std::nullopt;
     OpenRecord out;
     out.spec = std::move(*parsed);
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,5 @@
-// IPv4 addresses as the settings and workers write them: "10.0.0.1:8080".
+/// @file
+/// Addresses as the settings file, workers and the command line write them.
 #pragma once
 #include <uv.h>
 
@@ -7,6 +8,8 @@
 
 namespace nickelramp::net {
 
+/// Reads an IPv4 address with a port, such as "10.0.0.1:8080". Nothing if it is no such address or
+/// the port is not from 1 to 65535.
 std::optional<sockaddr_in> parse_address(const std::string& text);
 
 }  // namespace nickelramp::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,21 +1,38 @@
 #include "net/http_server.h"
 
 #include <http_parser.h>
-#include <spdlog/spdlog.h>
+
+#include <utility>
 
 #include "net/stream.h"
 
 namespace nickelramp::net {
 
 namespace {
-constexpr std::size_t kMaxBody = 64 * 1024;
-constexpr std::size_t kMaxTarget = 4096;
-constexpr std::size_t kMaxHeaders = 16 * 1024;
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxTargetBytes = 4096;
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
+constexpr int kListenBacklog = 256;
+constexpr std::uint64_t kMinIdleMilliseconds = 30'000;  // before a connection may be replaced
+
+constexpr int kOk = 200, kContentTooLarge = 413, kTargetTooLong = 414, kHeadersTooLarge = 431;
 
-const char* reason(int status) { return http_status_str(static_cast<http_status>(status)); }
+const char* reason_phrase(int status) { return http_status_str(static_cast<http_status>(status)); }
+
+std::string encode_head(const Response& response, bool closes) {
+    std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " +
+                       reason_phrase(response.status) + "\r\nContent-Type: " + response.type +
+                       "\r\nContent-Length: " + std::to_string(response.body.size()) + "\r\n";
+    if (response.retry_after_s > 0)
+        head += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
+    if (closes) head += "Connection: close\r\n";
+    return head + "\r\n";
+}
 }  // namespace
 
-class Connection : public std::enable_shared_from_this<Connection> {
+/// One connection of a client. `reading` a request; `handling` it until the response is sent;
+/// `closing` for good.
+class HttpServer::Connection : public std::enable_shared_from_this<HttpServer::Connection> {
   public:
     enum class State { reading, handling, closing };
 
@@ -32,31 +49,22 @@
         stream_.read(this);
     }
 
-    void send(const Response& r) {
+    void send(const Response& response) {
         if (state_ != State::handling) return;
-        auto keep = shared_from_this();
-        close_after_ |= r.close;
-        std::string head = "HTTP/1.1 " + std::to_string(r.status) + " " + reason(r.status) +
-                           "\r\nContent-Type: " + r.type +
-                           "\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
-        if (r.retry_after_s > 0) {
-            head += "Retry-After: " + std::to_string(r.retry_after_s) + "\r\n";
-        }
-        if (close_after_) head += "Connection: close\r\n";
-        head += "\r\n";
-        write(head + r.body, close_after_);
+        auto keep_alive = shared_from_this();
+        close_after_ |= response.close;
+        write(encode_head(response, close_after_) + response.body, close_after_);
         if (close_after_) return;
         set_state(State::reading);
         request_ = Request{};
-        // What came before the answer went out follows nothing.
-        request_.follows_ok_reply = r.status == 200 && backlog_.empty();
-        request_.followed_reply_tag = request_.follows_ok_reply ? r.tag : 0;
-        headers_ = 0;
+        // A request that came before the response went out does not follow it.
+        request_.follows_ok_reply = response.status == kOk && backlog_.empty();
+        request_.followed_reply_tag = request_.follows_ok_reply ? response.tag : 0;
+        header_bytes_ = 0;
         http_parser_pause(&parser_, 0);
         if (!backlog_.empty()) {
-            std::string rest;
-            rest.swap(backlog_);
-            feed(rest.data(), rest.size());
+            const std::string received = std::exchange(backlog_, {});
+            feed(received.data(), received.size());
         }
     }
 
@@ -68,31 +76,33 @@
     }
 
     std::uint64_t last_active() const { return last_active_; }
-    PeerKind client() const { return client_; }
+    PeerKind peer() const { return peer_; }
 
-    bool belongs_to(PeerKind client) {
-        if (client_ == client) return false;
-        server_->update_counts(client_, client);
-        client_ = client;
+    bool classify(PeerKind peer) {
+        if (peer_ == peer) return false;
+        server_->update_counts(peer_, peer);
+        peer_ = peer;
         return true;
     }
 
-    void on_bytes(const char* data, ssize_t n) {
-        if (n < 0) {
+    // Called by Stream. A negative size says that the connection has ended.
+    void on_bytes(const char* data, ssize_t size) {
+        if (size < 0) {
             close();
             return;
         }
+        const auto bytes = static_cast<std::size_t>(size);
         last_active_ = uv_now(server_->loop_);
-        if (state_ == State::handling) {
-            // Requests are not pipelined; a little is tolerated, more is broken HTTP.
-            if (backlog_.size() + static_cast<std::size_t>(n) > kMaxBody + kMaxHeaders) {
-                close();
-                return;
-            }
-            backlog_.append(data, static_cast<std::size_t>(n));
+        if (state_ != State::handling) {
+            feed(data, bytes);
+            return;
+        }
+        // Requests are not to be pipelined; one that comes early is kept, more is broken HTTP.
+        if (backlog_.size() + bytes > kMaxBodyBytes + kMaxHeaderBytes) {
+            close();
             return;
         }
-        feed(data, static_cast<std::size_t>(n));
+        backlog_.append(data, bytes);
     }
 
   private:
@@ -100,72 +110,47 @@
 
     void write(std::string data, bool last) {
         const bool sent = stream_.write(weak_from_this(), std::move(data),
-                                        [last](Connection& c, int status, std::size_t) {
-                                            if (status < 0 || last) c.close();
+                                        [last](Connection& connection, int status, std::size_t) {
+                                            if (status < 0 || last) connection.close();
                                         });
         if (!sent) close();
     }
 
-    // Answers a request that cannot be served and closes.
+    // Responds to a request that cannot be served, and closes.
     void refuse(int status) {
         close_after_ = true;
         set_state(State::handling);
         send(Response{status, "", 0, "application/cbor"});
     }
 
-    void feed(const char* data, std::size_t n) {
-        static const http_parser_settings settings = [] {
-            http_parser_settings s;
-            http_parser_settings_init(&s);
-            s.on_url = [](http_parser* p, const char* at, std::size_t len) {
-                auto* c = static_cast<Connection*>(p->data);
-                c->target_.append(at, len);
-                if (c->target_.size() <= kMaxTarget) return 0;
-                c->refusal_ = 414;
-                return 1;
-            };
-            s.on_header_field = count_header;
-            s.on_header_value = count_header;
-            s.on_body = [](http_parser* p, const char* at, std::size_t len) {
-                auto* c = static_cast<Connection*>(p->data);
-                c->request_.body.append(at, len);
-                if (c->request_.body.size() <= kMaxBody) return 0;
-                c->refusal_ = 413;
-                return 1;
-            };
-            s.on_message_complete = [](http_parser* p) {
-                auto* c = static_cast<Connection*>(p->data);
-                c->complete_ = true;
-                http_parser_pause(p, 1);
-                return 0;
-            };
-            return s;
-        }();
-        std::size_t used = http_parser_execute(&parser_, &settings, data, n);
-        if (refusal_ != 0) {
-            refuse(refusal_);
+    void feed(const char* data, std::size_t size) {
+        const std::size_t used = http_parser_execute(&parser_, &parser_settings(), data, size);
+        if (refusal_status_ != 0) {
+            refuse(refusal_status_);
             return;
         }
-        auto error = HTTP_PARSER_ERRNO(&parser_);
+        const auto error = HTTP_PARSER_ERRNO(&parser_);
         if (error == HPE_HEADER_OVERFLOW) {
-            refuse(431);
-            return;
-        }
-        if (error != HPE_OK && error != HPE_PAUSED) {
-            close();
+            refuse(kHeadersTooLarge);
             return;
         }
-        if (parser_.upgrade) {
+        const bool is_http = error == HPE_OK || error == HPE_PAUSED;
+        if (!is_http || parser_.upgrade) {
             close();
             return;
         }
         if (!complete_) return;
+        if (used < size) backlog_.assign(data + used, size - used);
+        handle_request();
+    }
+
+    void handle_request() {
         complete_ = false;
-        if (used < n) backlog_.assign(data + used, n - used);
-        auto mark = target_.find('?');
+        const auto question_mark = target_.find('?');
         request_.method = http_method_str(static_cast<http_method>(parser_.method));
-        request_.path = target_.substr(0, mark);
-        request_.query = mark == std::string::npos ? "" : target_.substr(mark + 1);
+        request_.path = target_.substr(0, question_mark);
+        request_.query =
+            question_mark == std::string::npos ? "" : target_.substr(question_mark + 1);
         target_.clear();
         request_.local_ip = local_ip_;
         close_after_ = http_should_keep_alive(&parser_) == 0;
@@ -173,11 +158,54 @@
         server_->handler_(request_, Responder(weak_from_this()));
     }
 
-    static int count_header(http_parser* p, const char*, std::size_t len) {
-        auto* c = static_cast<Connection*>(p->data);
-        c->headers_ += len;
-        if (c->headers_ <= kMaxHeaders) return 0;
-        c->refusal_ = 431;
+    // The parser's callbacks; any value but 0 makes it stop.
+
+    static Connection& connection_of(http_parser* parser) {
+        return *static_cast<Connection*>(parser->data);
+    }
+
+    static int on_target(http_parser* parser, const char* data, std::size_t size) {
+        Connection& connection = connection_of(parser);
+        connection.target_.append(data, size);
+        return connection.check_limit(connection.target_.size(), kMaxTargetBytes, kTargetTooLong);
+    }
+
+    static int on_header(http_parser* parser, const char* /*data*/, std::size_t size) {
+        Connection& connection = connection_of(parser);
+        connection.header_bytes_ += size;
+        return connection.check_limit(connection.header_bytes_, kMaxHeaderBytes, kHeadersTooLarge);
+    }
+
+    static int on_body(http_parser* parser, const char* data, std::size_t size) {
+        Connection& connection = connection_of(parser);
+        connection.request_.body.append(data, size);
+        return connection.check_limit(connection.request_.body.size(), kMaxBodyBytes,
+                                      kContentTooLarge);
+    }
+
+    static int on_complete(http_parser* parser) {
+        connection_of(parser).complete_ = true;
+        http_parser_pause(parser, 1);
+        return 0;
+    }
+
+    static const http_parser_settings& parser_settings() {
+        static const http_parser_settings settings = [] {
+            http_parser_settings callbacks;
+            http_parser_settings_init(&callbacks);
+            callbacks.on_url = on_target;
+            callbacks.on_header_field = on_header;
+            callbacks.on_header_value = on_header;
+            callbacks.on_body = on_body;
+            callbacks.on_message_complete = on_complete;
+            return callbacks;
+        }();
+        return settings;
+    }
+
+    int check_limit(std::size_t size, std::size_t limit, int status) {
+        if (size <= limit) return 0;
+        refusal_status_ = status;
         return 1;
     }
 
@@ -187,75 +215,73 @@
     http_parser parser_;
     std::string target_;
     Request request_;
-    std::string backlog_;
+    std::string backlog_;  // received while a request is handled
     std::string local_ip_;
-    PeerKind client_ = PeerKind::other;
-    std::size_t headers_ = 0;
-    int refusal_ = 0;
+    PeerKind peer_ = PeerKind::other;
+    std::size_t header_bytes_ = 0;
+    int refusal_status_ = 0;  // 0: the request is within all limits
     bool complete_ = false;
     bool close_after_ = false;
-    std::uint64_t last_active_ = 0;
+    std::uint64_t last_active_ = 0;  // the loop's time in milliseconds
 };
 
 void Responder::send(const Response& response) const {
-    if (auto c = connection_.lock()) c->send(response);
+    if (const auto connection = connection_.lock()) connection->send(response);
 }
 
-bool Responder::classify(PeerKind client) const {
-    auto c = connection_.lock();
-    return c && c->belongs_to(client);
+bool Responder::classify(PeerKind peer) const {
+    const auto connection = connection_.lock();
+    return connection && connection->classify(peer);
 }
 
 HttpServer::HttpServer(uv_loop_t* loop, std::size_t max_connections, Handler handler)
     : loop_(loop),
-      listener_(new uv_tcp_t),
+      listener_(loop, uv_tcp_init, this),
       max_connections_(max_connections),
-      handler_(std::move(handler)) {
-    uv_tcp_init(loop, listener_);
-    listener_->data = this;
-}
+      handler_(std::move(handler)) {}
 
 HttpServer::~HttpServer() {
-    auto open = connections_;
-    for (auto& [c, keep] : open) c->close();
-    uv_close(reinterpret_cast<uv_handle_t*>(listener_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_tcp_t*>(h); });
+    const auto open = connections_;  // closing removes from the map
+    for (const auto& [connection, keep_alive] : open) connection->close();
 }
 
 int HttpServer::listen(const sockaddr_in& address) {
-    int rc = uv_tcp_bind(listener_, reinterpret_cast<const sockaddr*>(&address), 0);
-    if (rc < 0) return rc;
-    return uv_listen(reinterpret_cast<uv_stream_t*>(listener_), 256,
-                     [](uv_stream_t* s, int status) {
-                         if (status == 0) static_cast<HttpServer*>(s->data)->accept();
+    if (const int error =
+            uv_tcp_bind(listener_.get(), reinterpret_cast<const sockaddr*>(&address), 0);
+        error < 0)
+        return error;
+    return uv_listen(reinterpret_cast<uv_stream_t*>(listener_.get()), kListenBacklog,
+                     [](uv_stream_t* listener, int status) {
+                         if (status == 0) static_cast<HttpServer*>(listener->data)->accept();
                      });
 }
 
 void HttpServer::accept() {
-    auto c = std::make_shared<Connection>(this);
-    connections_.emplace(c.get(), c);
-    if (uv_accept(reinterpret_cast<uv_stream_t*>(listener_), c->handle()) < 0) {
-        c->close();
+    const auto connection = std::make_shared<Connection>(this);
+    connections_.emplace(connection.get(), connection);
+    if (uv_accept(reinterpret_cast<uv_stream_t*>(listener_.get()), connection->handle()) < 0) {
+        connection->close();
         return;
     }
-    c->start();
-    if (connections_.size() > max_connections_) close_idle_connections();
-    if (connections_.size() > max_connections_) c->close();
+    connection->start();
+    if (connections_.size() > max_connections_) close_idle_connection();
+    if (connections_.size() > max_connections_) connection->close();
 }
 
-// At the limit, the connections that have been idle longest make room.
-void HttpServer::close_idle_connections() {
-    std::uint64_t now = uv_now(loop_);
+// At the limit, the connection that has been idle longest makes room for the new one.
+void HttpServer::close_idle_connection() {
+    const std::uint64_t now = uv_now(loop_);
     Connection* oldest = nullptr;
-    for (auto& [c, keep] : connections_) {
-        if (oldest == nullptr || c->last_active() < oldest->last_active()) oldest = c;
+    for (const auto& [connection, keep_alive] : connections_) {
+        if (oldest == nullptr || connection->last_active() < oldest->last_active())
+            oldest = connection;
     }
-    if (oldest != nullptr && now - oldest->last_active() > 30'000) oldest->close();
+    if (oldest != nullptr && now - oldest->last_active() > kMinIdleMilliseconds) oldest->close();
 }
 
-void HttpServer::remove_connection(Connection* c) {
-    update_counts(c->client(), PeerKind::other);
-    connections_.erase(c);
+void HttpServer::remove_connection(Connection* connection) {
+    update_counts(connection->peer(), PeerKind::other);
+    connections_.erase(connection);
 }
 
 void HttpServer::update_counts(PeerKind before, PeerKind after) {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 server on libuv and http-parser: keep-alive, one request at a time per connection,
-// bounded bodies, bounded connections.
+/// @file
+/// HTTP/1.1 server on libuv and http-parser.
 #pragma once
 #include <uv.h>
 
@@ -10,73 +10,76 @@
 #include <unordered_map>
 
 #include "base/time.h"
+#include "net/uv_handle.h"
 
 namespace nickelramp::net {
 
 struct Request {
     std::string method;
     std::string path;
+    /// What follows the question mark.
     std::string query;
     std::string body;
-    // It came after an answer 200 to the one before it on this connection: requests are not
-    // pipelined, so that answer has arrived.
+    /// It came after a response with status 200 to the request before it on this connection.
+    /// Requests are not pipelined, so that the client has received that response.
     bool follows_ok_reply = false;
-    std::uint64_t followed_reply_tag = 0;  // of that answer
-    std::string local_ip = "";             // that it came to, where the server was asked to tell
+    /// The tag of that response.
+    std::uint64_t followed_reply_tag = 0;
+    /// The address that it came to, if the server was asked to report it.
+    std::string local_ip = "";
 };
 
 struct Response {
     int status = 200;
     std::string body;
-    int retry_after_s = 0;  // sent as Retry-After when positive
+    /// Sent as Retry-After if positive.
+    int retry_after_s = 0;
+    /// The content type.
     const char* type = "application/cbor";
-    // Of an answer 200: comes back in the next request of the connection.
+    /// Of a response with status 200: returned as Request::followed_reply_tag of the connection's
+    /// next request. It is not sent.
     std::uint64_t tag = 0;
-    bool close = false;  // the connection ends with it
+    /// Close the connection after it.
+    bool close = false;
 };
 
-class Connection;
-
-// Who is at the other end, as far as its requests have shown.
+/// Who is at the other end of a connection, as far as its requests have shown.
 enum class PeerKind { other, worker };
 
-// Answers one request; may be kept and used later. Answering a closed connection does nothing.
-class Responder {
-  public:
-    Responder() = default;
-    explicit Responder(std::weak_ptr<Connection> c) : connection_(std::move(c)) {}
-    void send(const Response& response) const;
-    void operator()(const Response& response) const { send(response); }
-    // From now on the connection counts as such a client's. True if it did not before.
-    bool classify(PeerKind client) const;
-
-  private:
-    std::weak_ptr<Connection> connection_;
-};
+class Responder;
 
+/// Serves HTTP/1.1 with keep-alive, one request at a time per connection. Connections, bodies (64
+/// KiB), targets (4 KiB) and headers (16 KiB) are bounded: at the limit, new connections are closed
+/// unless one has been idle for long; larger requests are answered with 413, 414 or 431; what is no
+/// HTTP closes the connection. Used by the controller, and by emulators and tests. To be used on
+/// the loop's thread only.
 class HttpServer {
   public:
+    /// Called with each request. The responder may be kept and used later.
     using Handler = std::function<void(const Request&, Responder)>;
+    class Connection;  // internal
+
     HttpServer(uv_loop_t* loop, std::size_t max_connections, Handler handler);
+    /// Closes all connections.
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    int listen(const sockaddr_in& address);  // 0 or a libuv error
-    // Requests name the address that they came to. For servers that listen on all addresses.
+    /// 0 or a libuv error.
+    [[nodiscard]] int listen(const sockaddr_in& address);
+    /// Requests name the address that they came to. For servers that listen on all addresses.
     void report_local_ip() { reports_local_ip_ = true; }
     std::size_t connections() const { return connections_.size(); }
     std::size_t worker_connections() const { return worker_connections_; }
 
   private:
-    friend class Connection;
     void accept();
-    void remove_connection(Connection* c);
+    void remove_connection(Connection* connection);
     void update_counts(PeerKind before, PeerKind after);
-    void close_idle_connections();
+    void close_idle_connection();
 
     uv_loop_t* loop_;
-    uv_tcp_t* listener_;
+    UvHandle<uv_tcp_t> listener_;
     std::size_t max_connections_;
     bool reports_local_ip_ = false;
     std::size_t worker_connections_ = 0;
@@ -84,4 +87,19 @@
     std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
 };
 
+/// Sends the response to one request. Does nothing if the connection is closed by then.
+class Responder {
+  public:
+    Responder() = default;
+    explicit Responder(std::weak_ptr<HttpServer::Connection> connection)
+        : connection_(std::move(connection)) {}
+    void send(const Response& response) const;
+    void operator()(const Response& response) const { send(response); }
+    /// The connection counts as one of such a peer from now on. True if it did not before.
+    bool classify(PeerKind peer) const;
+
+  private:
+    std::weak_ptr<HttpServer::Connection> connection_;
+};
+
 }  // namespace nickelramp::net
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -5,10 +5,15 @@
 namespace nickelramp::wire {
 
 namespace {
-// The reader recurses once a level: a body made of opening brackets only would end the process.
+constexpr int kMaxDepth = 32;
+// Shorter bodies cannot nest deeply enough to do harm, and skip the check.
+constexpr std::size_t kMaxUncheckedBytes = 2048;
+
+// Refuses bodies that nest deeply. The library's reader recurses once a level: a body made of
+// opening brackets only would overflow the stack and end the process.
 struct DepthCheck : nlohmann::json_sax<Json> {
     int depth = 0;
-    bool enter() { return ++depth <= 32; }
+    bool enter() { return ++depth <= kMaxDepth; }
     bool leave() { return --depth >= 0; }
     bool null() override { return true; }
     bool boolean(bool) override { return true; }
@@ -26,7 +31,6 @@
         return false;
     }
 };
-constexpr std::size_t kShallow = 2048;  // too short to nest dangerously
 }  // namespace
 
 std::string encode(const Json& value) {
@@ -36,11 +40,11 @@
 }
 
 std::optional<Json> decode_map(const std::string& body) {
-    if (body.size() > kShallow) {
+    if (body.size() > kMaxUncheckedBytes) {
         DepthCheck check;
         if (!Json::sax_parse(body, &check, Json::input_format_t::cbor)) return std::nullopt;
     }
-    // Told not to throw, the reader still does so for lengths beyond all memory.
+    // The library throws for lengths beyond all memory, although it is asked not to throw.
     try {
         Json value = Json::from_cbor(body, true, false);
         if (value.is_object()) return value;
@@ -50,11 +54,12 @@
     return std::nullopt;
 }
 
-bool is_plain_json(const Json& v) {
-    if (v.is_structured()) return std::all_of(v.begin(), v.end(), is_plain_json);
-    const bool wrapped =
-        v.is_number_integer() && !v.is_number_unsigned() && v.get<std::int64_t>() >= 0;
-    return !v.is_binary() && !wrapped;
+bool is_plain_json(const Json& decoded) {
+    if (decoded.is_structured()) return std::all_of(decoded.begin(), decoded.end(), is_plain_json);
+    // A negative integer of CBOR that has become a positive one.
+    const bool wrapped = decoded.is_number_integer() && !decoded.is_number_unsigned() &&
+                         decoded.get<std::int64_t>() >= 0;
+    return !decoded.is_binary() && !wrapped;
 }
 
 std::optional<std::size_t> json_size(const Json& value) {
@@ -67,37 +72,37 @@
 
 const Json* field(const Json& map, const char* name) {
     if (!map.is_object()) return nullptr;
-    auto it = map.find(name);
-    return it == map.end() || it->is_null() ? nullptr : &*it;
+    const auto found = map.find(name);
+    return found == map.end() || found->is_null() ? nullptr : &*found;
 }
 
 std::optional<std::string> text_field(const Json& map, const char* name) {
-    const Json* f = field(map, name);
-    if (f == nullptr || !f->is_string()) return std::nullopt;
-    return f->get<std::string>();
+    const Json* value = field(map, name);
+    if (value == nullptr || !value->is_string()) return std::nullopt;
+    return value->get<std::string>();
 }
 
 std::optional<double> amount_field(const Json& map, const char* name) {
-    const Json* f = field(map, name);
-    if (f == nullptr || !f->is_number()) return std::nullopt;
-    double v = f->get<double>();
-    if (!std::isfinite(v) || v < 0) return std::nullopt;
-    return v;
+    const Json* value = field(map, name);
+    if (value == nullptr || !value->is_number()) return std::nullopt;
+    const double amount = value->get<double>();
+    if (!std::isfinite(amount) || amount < 0) return std::nullopt;
+    return amount;
 }
 
 std::optional<std::uint64_t> count_field(const Json& map, const char* name) {
-    const Json* f = field(map, name);
-    if (f == nullptr || !f->is_number_integer()) return std::nullopt;
-    if (f->is_number_unsigned()) return f->get<std::uint64_t>();
-    auto v = f->get<std::int64_t>();
-    if (v < 0) return std::nullopt;
-    return static_cast<std::uint64_t>(v);
+    const Json* value = field(map, name);
+    if (value == nullptr || !value->is_number_integer()) return std::nullopt;
+    if (value->is_number_unsigned()) return value->get<std::uint64_t>();
+    const auto count = value->get<std::int64_t>();
+    if (count < 0) return std::nullopt;
+    return static_cast<std::uint64_t>(count);
 }
 
 std::optional<bool> flag_field(const Json& map, const char* name) {
-    const Json* f = field(map, name);
-    if (f == nullptr || !f->is_boolean()) return std::nullopt;
-    return f->get<bool>();
+    const Json* value = field(map, name);
+    if (value == nullptr || !value->is_boolean()) return std::nullopt;
+    return value->get<bool>();
 }
 
 }  // namespace nickelramp::wire
--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -589,9 +589,8 @@
 }
 
 void ClusterSimulation::submit(const Json& spec) {
-    std::string error;
-    auto parsed = wire::parse_job(spec, error);
-    ASSERT_TRUE(parsed) << error;
+    const auto parsed = wire::parse_job(spec);
+    ASSERT_TRUE(parsed) << parsed.error().message();
     specs_[parsed->id] = *parsed;
     // Its user comes again until there is room.
     if (!take_write_budget(2)) return at(now_ + 1'000, [this, spec] { submit(spec); });
--- a/tests/control_fixture.h
+++ b/tests/control_fixture.h
@@ -201,9 +201,8 @@
         return *machine;
     }
     jobs::Job& add_job(const wire::Json& spec, Millis now = 0, std::uint64_t version = 1) {
-        std::string error;
-        auto parsed = wire::parse_job(spec, error);
-        EXPECT_TRUE(parsed) << error;
+        const auto parsed = wire::parse_job(spec);
+        EXPECT_TRUE(parsed) << parsed.error().message();
         jobs::Job& job = cluster.add_job({*parsed, now, false, false}, version, now, now);
         cluster.enqueue_job(job);
         return job;
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -153,8 +153,8 @@
 }
 
 TEST_F(CtlOnLoopback, WatchesAJobUntilItFinishes) {
-    answers = {cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::running, 1, 2)),
-               cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::done, 3, 0))};
+    answers = {cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::running, {{1, 2}})),
+               cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::done, {{3, 0}}))};
     EXPECT_EQ(ctl({"--controller", kThere, "show", "job-5", "--watch", "0.1"}), ctl::kExitOk);
     EXPECT_EQ(
         said,
--- a/tests/golden_admin_test.cpp
+++ b/tests/golden_admin_test.cpp
@@ -208,8 +208,7 @@
     }
     void load(const std::string& id, const Json& spec) {
         jobs::OpenRecord record;
-        std::string error;
-        record.spec = *wire::parse_job(spec, error);
+        record.spec = *wire::parse_job(spec);
         record.accepted_wall_ms = 1'000'000;
         dispatcher.load_job(record, 31, 1'000'500, 1000);
         (void)id;
--- a/tests/golden_ctl_test.cpp
+++ b/tests/golden_ctl_test.cpp
@@ -141,12 +141,12 @@
     run("submit, JSON", {"--json", "submit", "-"}, job);
     answer_cbor(422, {{"error", "unknown team"}});
     run("submit, refused", {"submit", "-"}, job);
-    answer_cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::running, 1, 2));
+    answer_cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::running, {{1, 2}}));
     run("show", {"show", "job-5"});
     run("show, JSON", {"show", "job-5", "--json"});
     answer_cbor(404, {{"error", "no such job"}});
     run("show, unknown", {"show", "job-5"});
-    answer_cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::cancelled, 0, 0));
+    answer_cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::cancelled, {{0, 0}}));
     run("abort", {"abort", "job-5"});
     run("show, watched", {"show", "job-5", "--watch", "0.1"});
     answers = {{200, "neither", 0, "text/plain"}};
--- a/tests/golden_users_test.cpp
+++ b/tests/golden_users_test.cpp
@@ -73,7 +73,7 @@
                                 {[] { return std::int64_t{1'700'000'000'123}; },
                                  [this] { return store.now; }, [](const char*, int, Millis) {},
                                  [this](const std::string&) {
-                                     return api::TaskCounts{done, running};
+                                     return wire::TaskCounts{done, running};
                                  }}};
 };
 
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -112,24 +112,22 @@
 
 TEST_F(GoldenWire, JobsAreReadAsTheyWere) {
     auto read = [](const Json& body) {
-        std::string error;
-        const auto job = wire::parse_job(body, error);
-        return job ? shown_job(*job) : "refused: " + error;
+        const auto job = wire::parse_job(body);
+        return job ? shown_job(*job) : "refused: " + job.error().field;
     };
     text("full", read(full_job()));
     text("minimal", read(minimal_job()));
     std::string shapes, urgencies;
     for (const char* word : {"sweep", "ensemble", "standing", "array", "gang", "service"}) {
-        std::string error;
-        const auto job = wire::parse_job(with(full_job(), "shape", word), error);
+        const auto job = wire::parse_job(with(full_job(), "shape", word));
         shapes += std::string(word) + ": " +
-                  (job ? std::to_string(static_cast<int>(job->shape)) : error) + "\n";
+                  (job ? std::to_string(static_cast<int>(job->shape)) : job.error().field) + "\n";
     }
     for (const char* word : {"best_effort", "normal", "urgent", "prod", "low", "high"}) {
-        std::string error;
-        const auto job = wire::parse_job(with(full_job(), "urgency", word), error);
+        const auto job = wire::parse_job(with(full_job(), "urgency", word));
         urgencies += std::string(word) + ": " +
-                     (job ? std::to_string(static_cast<int>(job->priority)) : error) + "\n";
+                     (job ? std::to_string(static_cast<int>(job->priority)) : job.error().field) +
+                     "\n";
     }
     text("shapes", shapes);
     text("urgencies", urgencies);
@@ -139,13 +137,13 @@
         ids += std::string(id) + ": " + (wire::valid_job_id(id) ? "valid" : "invalid") + "\n";
     text("ids", ids);
     text("bytes of the users' stand-in",
-         shown_bytes(wire::encode(emulator::job_body(*wire::parse_job(full_job(), shapes)))));
+         shown_bytes(wire::encode(emulator::job_body(*wire::parse_job(full_job())))));
 }
 
 TEST_F(GoldenWire, InvalidJobsNameTheFieldAtFault) {
     auto judge = [](const Json& body) {
-        std::string error;
-        return wire::parse_job(body, error) ? std::string("read") : "refused: " + error;
+        const auto job = wire::parse_job(body);
+        return job ? std::string("read") : "refused: " + job.error().field;
     };
     text("one field wrong", mutations(full_job(), fields_of(full_job()), judge));
     std::string others;
@@ -163,7 +161,7 @@
         value(std::string("status ") + wire::final_name(status),
               wire::encode_job_answer("job-000412", status));
         value(std::string("counts ") + wire::final_name(status),
-              wire::encode_job_answer("job-000412", status, 100'000, 3));
+              wire::encode_job_answer("job-000412", status, {{100'000, 3}}));
     }
     using wire::ExitCause;
     for (ExitCause cause :
@@ -289,11 +287,8 @@
 }
 
 std::string read_settings(const std::string& text) {
-    try {
-        return shown_settings(wire::parse_settings(text));
-    } catch (const std::runtime_error& e) {
-        return std::string("refused: ") + e.what();
-    }
+    const auto settings = wire::parse_settings(text);
+    return settings ? shown_settings(*settings) : "refused: " + settings.error().message();
 }
 
 TEST_F(GoldenWire, SettingsAreReadAsTheyWere) {
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -128,7 +128,7 @@
         reads.reads(),
         {[] { return std::int64_t{1}; }, [this] { return static_cast<Millis>(uv_now(&loop)); },
          [this](const char*, int status, Millis) { reported_statuses.push_back(status); },
-         [](const std::string&) { return api::TaskCounts{}; }}};
+         [](const std::string&) { return wire::TaskCounts{}; }}};
     net::HttpServer server{&loop, 8, [this](const net::Request& request, net::Responder responder) {
                                if (!request_handler.handle(request, responder))
                                    responder.send({404, "", 0, "x"});
--- a/tests/user_simulation.h
+++ b/tests/user_simulation.h
@@ -173,7 +173,7 @@
                           {[] { return std::int64_t{1}; }, [this] { return store.now; },
                            [](const char*, int, Millis) {},
                            [](const std::string&) {
-                               return api::TaskCounts{0, 1};
+                               return wire::TaskCounts{0, 1};
                            }}) {}
     template <typename... Fields>
     void trace(const char* kind, const Fields&... fields) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,5 @@
-// The door: bad input is told apart from good, and nothing gets past it.
+// Messages of users and workers, settings and options: what is valid is read, what is not is
+// rejected.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -23,15 +24,14 @@
 }
 
 TEST(Wire, ParsesAJob) {
-    std::string error;
-    auto j = wire::parse_job(good_job(), error);
-    ASSERT_TRUE(j) << error;
-    EXPECT_EQ(j->shape, wire::Shape::gang);
-    EXPECT_EQ(j->priority, wire::Priority::high);
-    EXPECT_EQ(j->tasks, 16u);
-    EXPECT_FALSE(j->zone);
-    EXPECT_EQ(j->types, std::vector<std::string>{"g8"});
-    EXPECT_DOUBLE_EQ(*j->deadline_s, 900);
+    const auto spec = wire::parse_job(good_job());
+    ASSERT_TRUE(spec) << spec.error().message();
+    EXPECT_EQ(spec->shape, wire::Shape::gang);
+    EXPECT_EQ(spec->priority, wire::Priority::high);
+    EXPECT_EQ(spec->tasks, 16u);
+    EXPECT_FALSE(spec->zone);
+    EXPECT_EQ(spec->types, std::vector<std::string>{"g8"});
+    EXPECT_DOUBLE_EQ(*spec->deadline_s, 900);
 }
 
 // Guards the process: the CBOR reader recurses, and a body of brackets would overflow its stack.
@@ -41,14 +41,15 @@
     EXPECT_FALSE(wire::decode_map(""));
     EXPECT_FALSE(wire::decode_map("plain text"));
     EXPECT_FALSE(wire::decode_map(wire::encode(Json::array({1, 2}))));
-    std::string good = wire::encode(good_job());
-    ASSERT_TRUE(wire::decode_map(good));
-    for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(wire::decode_map(good.substr(0, n)));
-    EXPECT_FALSE(wire::decode_map(good + "x"));
+    const std::string valid = wire::encode(good_job());
+    ASSERT_TRUE(wire::decode_map(valid));
+    for (std::size_t size = 0; size < valid.size(); ++size)
+        EXPECT_FALSE(wire::decode_map(valid.substr(0, size)));
+    EXPECT_FALSE(wire::decode_map(valid + "x"));
 }
 
 TEST(Wire, FuzzedHeartbeatsNeverCrash) {
-    Json report = {
+    const Json heartbeat = {
         {"host", "i-000231"},
         {"address", "10.1.0.232:9000"},
         {"rig", "g8"},
@@ -62,21 +63,23 @@
          Json::array(
              {{{"leg", "job-000412/3"}, {"try", 2}, {"status", "running"}},
               {{"leg", "job-000398/0"}, {"try", 1}, {"status", "exited"}, {"cause", "done"}}})}};
-    auto whole = wire::decode_heartbeat(report);
-    ASSERT_TRUE(whole);
-    ASSERT_EQ(whole->tasks.size(), 2u);
-    EXPECT_EQ(whole->tasks[0].task, 3u);
-    EXPECT_EQ(whole->tasks[1].cause, wire::ExitCause::done);
+    const auto decoded = wire::decode_heartbeat(heartbeat);
+    ASSERT_TRUE(decoded);
+    ASSERT_EQ(decoded->tasks.size(), 2u);
+    EXPECT_EQ(decoded->tasks[0].task, 3u);
+    EXPECT_EQ(decoded->tasks[1].cause, wire::ExitCause::done);
     std::minstd_rand random(3);
-    std::string bytes = wire::encode(report);
-    int read = 0;
+    const std::string bytes = wire::encode(heartbeat);
+    int accepted = 0;
     for (int i = 0; i < 20000; ++i) {
-        std::string b = bytes;
-        for (int k = 0; k < 3; ++k) b[random() % b.size()] = static_cast<char>(random());
-        if (auto body = wire::decode_map(b)) read += wire::decode_heartbeat(*body) ? 1 : 0;
+        std::string mutated = bytes;
+        for (int change = 0; change < 3; ++change)
+            mutated[random() % mutated.size()] = static_cast<char>(random());
+        if (const auto body = wire::decode_map(mutated))
+            accepted += wire::decode_heartbeat(*body) ? 1 : 0;
     }
-    EXPECT_GT(read, 0);
-    EXPECT_LT(read, 20000);
+    EXPECT_GT(accepted, 0);
+    EXPECT_LT(accepted, 20000);
 }
 
 std::string settings_text() {
@@ -92,49 +95,49 @@
 }
 
 TEST(Wire, SettingsErrorsNameTheField) {
-    auto settings = wire::parse_settings(settings_text());
-    EXPECT_EQ(settings.peers.size(), 1u);
-    EXPECT_EQ(settings.objectives.size(), 1u);  // a kind of a later version is passed over
-    EXPECT_EQ(settings.state_txn_ops, 12u);
-    auto without = [](const std::string& cut, const std::string& put) {
-        std::string t = settings_text();
-        auto at = t.find(cut);
+    const auto settings = wire::parse_settings(settings_text());
+    ASSERT_TRUE(settings) << settings.error().message();
+    EXPECT_EQ(settings->peers.size(), 1u);
+    EXPECT_EQ(settings->objectives.size(), 1u);  // a kind of a later version is ignored
+    EXPECT_EQ(settings->state_txn_ops, 12u);
+    // The error after one part of the text has been replaced; empty: none.
+    auto error_with = [](const std::string& part, const std::string& replacement) {
+        std::string text = settings_text();
+        const auto at = text.find(part);
         EXPECT_NE(at, std::string::npos);
-        t.replace(at, cut.size(), put);
-        try {
-            wire::parse_settings(t);
-        } catch (const std::exception& e) {
-            return std::string(e.what());
-        }
-        return std::string();
+        text.replace(at, part.size(), replacement);
+        const auto parsed = wire::parse_settings(text);
+        return parsed ? std::string() : parsed.error().message();
     };
-    EXPECT_NE(without("\"10.0.0.1:8080\"", "\"nowhere\"").find("serve_on"), std::string::npos);
-    EXPECT_NE(without("\"lease_s\":31.0", "\"lease_s\":61.0").find("cancel_s"), std::string::npos);
-    EXPECT_NE(without("\"rps\":250.0", "\"rps\":\"x\"").find("facts.state.rps"), std::string::npos);
-    EXPECT_NE(without("ramper-1", "ramper-0").find("peers"), std::string::npos);
-    EXPECT_NE(without("\"facts\"", "\"fact\"").find("facts"), std::string::npos);
+    EXPECT_NE(error_with("\"10.0.0.1:8080\"", "\"nowhere\"").find("serve_on"), std::string::npos);
+    EXPECT_NE(error_with("\"lease_s\":31.0", "\"lease_s\":61.0").find("cancel_s"),
+              std::string::npos);
+    EXPECT_NE(error_with("\"rps\":250.0", "\"rps\":\"x\"").find("facts.state.rps"),
+              std::string::npos);
+    EXPECT_NE(error_with("ramper-1", "ramper-0").find("peers"), std::string::npos);
+    EXPECT_NE(error_with("\"facts\"", "\"fact\"").find("facts"), std::string::npos);
 }
 
 TEST(Admin, SettingsAreValidatedAndStored) {
     admin::Options options;
     std::string error;
     EXPECT_EQ(admin::find_option("rules"), nullptr);
-    const admin::Option* lent = admin::find_option("lent_machines");
-    ASSERT_NE(lent, nullptr);
-    EXPECT_TRUE(admin::set_option(options, *lent, 3, error));
+    const admin::Option* delegated_machines = admin::find_option("lent_machines");
+    ASSERT_NE(delegated_machines, nullptr);
+    EXPECT_TRUE(admin::set_option(options, *delegated_machines, 3, error));
     for (const Json& bad :
          {Json(-1), Json(2.5), Json(17), Json("many"), Json(NAN), Json(nullptr)}) {
         error.clear();
-        EXPECT_FALSE(admin::set_option(options, *lent, bad, error)) << bad;
+        EXPECT_FALSE(admin::set_option(options, *delegated_machines, bad, error)) << bad;
         EXPECT_NE(error.find("from 0 to 16"), std::string::npos);
     }
     EXPECT_EQ(options.delegated_machines, 3);
     Json record = admin::options_json(options);
-    record["use_spot"] = 5;        // out of range in a record: passed over
+    record["use_spot"] = 5;        // out of range in a record: ignored
     record["of_later"] = "value";  // of another version
-    admin::Options back = admin::read_options(record);
-    EXPECT_EQ(back.delegated_machines, 3);
-    EXPECT_EQ(back.use_spot, admin::Options{}.use_spot);
+    const admin::Options read = admin::read_options(record);
+    EXPECT_EQ(read.delegated_machines, 3);
+    EXPECT_EQ(read.use_spot, admin::Options{}.use_spot);
 }
 
 }  // namespace
