--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -101,7 +101,7 @@
     PeerCoordinator::Dependencies peer_dependencies();
     RequestRouter::Dependencies router_dependencies();
 
-    [[nodiscard]] api::TaskCounts progress_of(const std::string& job_id) const;
+    [[nodiscard]] wire::TaskCounts progress_of(const std::string& job_id) const;
     void tick();
     void run_leader_tick(control::ControlLoop& control_loop);
     void step_down(StepDownReason reason);
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -82,12 +82,12 @@
     }
     std::stringstream text;
     text << file.rdbuf();
-    try {
-        return nickelramp::wire::parse_settings(text.str());
-    } catch (const std::exception& error) {
-        std::cerr << error.what() << "\n";
+    auto settings = nickelramp::wire::parse_settings(text.str());
+    if (!settings) {
+        std::cerr << settings.error().message() << "\n";
         return std::nullopt;
     }
+    return *std::move(settings);
 }
 
 int run_controller(const Settings& settings, const FeatureFlags& features) {
--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -106,9 +106,8 @@
 }
 
 void ClusterSimulation::submit(const Json& spec) {
-    std::string error;
-    const auto parsed = wire::parse_job(spec, error);
-    ASSERT_TRUE(parsed) << error;
+    const auto parsed = wire::parse_job(spec);
+    ASSERT_TRUE(parsed) << parsed.error().message();
     jobs_.add(*parsed);
     if (!store_.take_write_budget(2)) {
         context_.after(kAskAgainAfter, [this, spec] { submit(spec); });
