--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -140,13 +140,13 @@
 
 // Counts of a job's tasks for display: of the control loop, if this controller has one, else as the
 // leader broadcast them; zeros if they are not known here.
-api::TaskCounts Controller::progress_of(const std::string& job_id) const {
+wire::TaskCounts Controller::progress_of(const std::string& job_id) const {
     if (const control::ControlLoop* control_loop = term_.control_loop()) {
         const auto progress = control_loop->progress(job_id);
         return {progress.done, progress.running};
     }
     const auto counts = peer_coordinator_.displayed_counts(job_id);
-    return counts ? api::TaskCounts{counts->done, counts->running} : api::TaskCounts{};
+    return counts ? wire::TaskCounts{counts->done, counts->running} : wire::TaskCounts{};
 }
 
 bool Controller::responds_for_leader(Millis now) {
