--- a/tests/golden_program_test.cpp
+++ b/tests/golden_program_test.cpp
@@ -7,7 +7,6 @@
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
-#include <regex>
 #include <set>
 
 #include "emulator/controller_processes.h"
@@ -73,6 +72,20 @@
     const std::filesystem::path folder;
 };
 
+// Runs of blanks and line ends become one line end. (std::regex would do it too, but g++ 12 with
+// the sanitizers warns of its insides.)
+std::string a_word_a_line(const std::string& text) {
+    std::string out;
+    for (const char c : text) {
+        const bool blank = c == ' ' || c == '\n';
+        if (!blank)
+            out += c;
+        else if (out.empty() || out.back() != '\n')
+            out += '\n';
+    }
+    return out;
+}
+
 TEST_F(GoldenProgram, CommandLineKeepsItsText) {
     Json settings = {
         {"host_name", "ramper-0"},   {"site", "a"},
@@ -91,7 +104,7 @@
     text("checked, bad", program("--check --config " + bad));
     text("started, bad", program("--config " + bad));
     // Without the layout, which is the argument parser's.
-    text("help", std::regex_replace(program("--help"), std::regex(R"([ \n]+)"), "\n"));
+    text("help", a_word_a_line(program("--help")));
     text("bad log level", [&] {
         setenv("LOG_LEVEL", "loud", 1);
         const std::string out = program("--check --config " + good);
