--- a/src/api/confirmed_reads.cpp
+++ b/src/api/confirmed_reads.cpp
@@ -29,20 +29,6 @@
     return status;
 }
 
-const char* name(ReadBatchState state) {
-    switch (state) {
-        case ReadBatchState::idle:
-            return "idle";
-        case ReadBatchState::pausing:
-            return "pausing";
-        case ReadBatchState::reading:
-            return "reading";
-        case ReadBatchState::starting:
-            return "starting";
-    }
-    return "?";
-}
-
 ConfirmedReads::ConfirmedReads(JobStore& store, Millis min_read_interval,
                                std::function<void(Millis)> wake, std::size_t cache_generation_size)
     : store_(store),
--- a/src/api/confirmed_reads.h
+++ b/src/api/confirmed_reads.h
@@ -32,7 +32,6 @@
 /// reading:  a read of changes is under way; new readers wait for the next one
 /// starting: the revision from which changes can be read is being asked for
 enum class ReadBatchState { idle, pausing, reading, starting };
-const char* name(ReadBatchState state);
 
 /// Reads the status of jobs so that every result is true of a moment after its read was asked for:
 /// no controller can give an older status than another has given before. All readers of a time
@@ -59,12 +58,6 @@
     /// Ends reads that are late and begins the next read if it is due.
     void run_due_work(Millis now);
 
-    /// Readers that wait for a read of changes.
-    std::size_t pending_count() const {
-        return waiting_for_next_read_.size() + waiting_for_current_read_.size();
-    }
-    ReadBatchState state() const { return state_; }
-
   private:
     struct PendingRead {
         std::string id;
--- a/src/control/shard_holder.h
+++ b/src/control/shard_holder.h
@@ -54,9 +54,6 @@
     [[nodiscard]] std::optional<peers::ShardStatus> status() const;
     /// Who granted the shard.
     [[nodiscard]] const std::string& leader() const { return grant_.from; }
-    [[nodiscard]] const std::vector<shards::ShardMember>& machines() const {
-        return grant_.machines;
-    }
     [[nodiscard]] ShardHolderState state() const { return state_; }
     /// The shard's fencing token; 0 when empty.
     [[nodiscard]] std::uint64_t token() const {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -145,8 +145,7 @@
         const auto progress = control_loop->progress(job_id);
         return {progress.done, progress.running};
     }
-    const auto counts = peer_coordinator_.displayed_counts(job_id);
-    return counts ? wire::TaskCounts{counts->done, counts->running} : wire::TaskCounts{};
+    return peer_coordinator_.displayed_counts(job_id);
 }
 
 bool Controller::responds_for_leader(Millis now) {
--- a/src/controller/peer_coordinator.cpp
+++ b/src/controller/peer_coordinator.cpp
@@ -146,11 +146,9 @@
     return proof && network_.send(*proof, peer, frame);
 }
 
-std::optional<PeerCoordinator::TaskCounts> PeerCoordinator::displayed_counts(
-    const std::string& job_id) const {
+wire::TaskCounts PeerCoordinator::displayed_counts(const std::string& job_id) const {
     const auto found = displayed_counts_.find(job_id);
-    if (found == displayed_counts_.end()) return std::nullopt;
-    return found->second;
+    return found == displayed_counts_.end() ? wire::TaskCounts{} : found->second;
 }
 
 void PeerCoordinator::hand_over_lost_zones(control::ControlLoop& control_loop) {
--- a/src/controller/peer_coordinator.h
+++ b/src/controller/peer_coordinator.h
@@ -3,7 +3,6 @@
 #pragma once
 #include <cstdint>
 #include <map>
-#include <optional>
 #include <string>
 
 #include "controller/heartbeat_handler.h"
@@ -17,6 +16,7 @@
 #include "peers/peer_message_handler.h"
 #include "peers/peer_network.h"
 #include "roles/role_manager.h"
+#include "wire/job_messages.h"
 #include "wire/settings.h"
 
 namespace nickelramp::controller {
@@ -41,12 +41,6 @@
         roles::RoleManager& role_manager;
         ReadinessMonitor& readiness;
     };
-    /// Counts of a job's tasks, for display.
-    struct TaskCounts {
-        std::uint64_t done = 0;
-        std::uint64_t running = 0;
-    };
-
     explicit PeerCoordinator(const Dependencies& dependencies);
 
     /// Accepts connections of peers. 0 or a libuv error.
@@ -63,8 +57,8 @@
 
     /// When the last message of a leader came, in the loop's time; 0: never.
     [[nodiscard]] Millis leader_seen_at() const { return leader_seen_at_; }
-    /// A job's counts as the leader last broadcast them; nothing if it did not.
-    [[nodiscard]] std::optional<TaskCounts> displayed_counts(const std::string& job_id) const;
+    /// A job's counts as the leader last broadcast them; zeros if it did not.
+    [[nodiscard]] wire::TaskCounts displayed_counts(const std::string& job_id) const;
     /// Tells a new control loop which zones the last leader had lost, and forgets them.
     void hand_over_lost_zones(control::ControlLoop& control_loop);
 
@@ -87,7 +81,7 @@
 
     const Dependencies parts_;
     peers::PeerNetwork network_;
-    std::map<std::string, TaskCounts> displayed_counts_;  // by job id
+    std::map<std::string, wire::TaskCounts> displayed_counts_;  // by job id
     std::map<std::string, Millis> lost_zones_;  // since when, as the leader last broadcast them
     Millis leader_seen_at_ = 0;
     Millis next_broadcast_at_ = 0;
--- a/src/dependencies/dependency_automata.h
+++ b/src/dependencies/dependency_automata.h
@@ -65,9 +65,6 @@
     SubmitOutcome terminate(Event event);
 
     [[nodiscard]] EventStatus status(Event event) const { return events_[event].status; }
-    [[nodiscard]] bool pending(Event event) const {
-        return events_[event].arrival_order != 0 && events_[event].status == EventStatus::open;
-    }
     [[nodiscard]] std::size_t automaton_count() const { return live_automaton_count_; }
 
   private:
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -87,7 +87,6 @@
     [[nodiscard]] ElectionState state() const { return state_; }
     /// Who leads, as last read; may be stale. Empty: nobody.
     [[nodiscard]] const std::string& leader() const { return leader_; }
-    [[nodiscard]] std::uint64_t term() const { return term_; }
     /// This controller's lease, to which its roles are attached; 0: none.
     [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
     /// Until when it may decide, by its steady clock; 0: it does not lead. Whoever acts asks this:
--- a/src/scheduling/zone_task_counts.h
+++ b/src/scheduling/zone_task_counts.h
@@ -21,7 +21,6 @@
           max_per_zone_((job.spec.tasks + 1) / 2),
           tasks_by_zone_(std::move(tasks_by_zone)) {}
 
-    [[nodiscard]] std::size_t zone_count() const { return tasks_by_zone_.size(); }
     [[nodiscard]] std::uint32_t tasks_in(Index zone) const { return tasks_by_zone_[zone]; }
 
     /// How many of `wanted` further tasks may go into the zone.
--- a/src/shards/shard_lease_table.cpp
+++ b/src/shards/shard_lease_table.cpp
@@ -139,11 +139,6 @@
     return entry == shard_of_machine_.end() ? 0 : shards_.at(entry->second).fencing_token;
 }
 
-bool ShardLeaseTable::has_dirty_shards() const {
-    return std::any_of(shards_.begin(), shards_.end(),
-                       [](const auto& entry) { return entry.second.dirty; });
-}
-
 std::vector<std::uint32_t> ShardLeaseTable::dirty_shards(std::size_t limit) const {
     std::vector<std::uint32_t> numbers;
     for (const auto& [number, shard] : shards_) {
--- a/src/shards/shard_lease_table.h
+++ b/src/shards/shard_lease_table.h
@@ -92,7 +92,6 @@
         return grant_token(term_, granted_count_);
     }
 
-    [[nodiscard]] bool has_dirty_shards() const;
     /// Numbers of the shards to write, in ascending order, at most `limit`.
     [[nodiscard]] std::vector<std::uint32_t> dirty_shards(std::size_t limit) const;
     /// The shard with this number; an empty one is added if there is none.
--- a/tests/control_attempts_test.cpp
+++ b/tests/control_attempts_test.cpp
@@ -16,17 +16,10 @@
 using jobs::Job;
 using kvstore::Status;
 using machines::Machine;
+using test::committed;
 using test::ControlFixture;
 using test::RecordingGateway;
 
-// A transaction was executed at this revision.
-kvstore::CommitReply committed(std::uint64_t revision) {
-    kvstore::CommitReply reply;
-    reply.status = Status::ok;
-    reply.revision = revision;
-    return reply;
-}
-
 // A next attempt is accepted only when the one before it is gone, and none after a cancellation.
 TEST(ControlParts, NoTaskIsPlacedTwice) {
     ControlFixture fixture;
--- a/tests/control_fixture.h
+++ b/tests/control_fixture.h
@@ -20,6 +20,14 @@
 
 namespace nickelramp::test {
 
+// A transaction was executed at this revision.
+inline kvstore::CommitReply committed(std::uint64_t revision) {
+    kvstore::CommitReply reply;
+    reply.status = kvstore::Status::ok;
+    reply.revision = revision;
+    return reply;
+}
+
 // Records every request, oldest first; the test replies with answer().
 struct RecordingGateway : cluster::ServiceGateway {
     template <typename Reply>
@@ -190,12 +198,8 @@
     // Writes the intents, and replies to all transactions that they were executed.
     void record_intents(Millis now) {
         intent_log.write(now);
-        while (!gateway.commits.empty()) {
-            kvstore::CommitReply ok;
-            ok.status = kvstore::Status::ok;
-            ok.revision = ++revision;
-            RecordingGateway::answer(gateway.commits, now, ok);
-        }
+        while (!gateway.commits.empty())
+            RecordingGateway::answer(gateway.commits, now, committed(++revision));
     }
     std::uint64_t revision = 1000;
     void on_command_reply(machines::Machine&, const wire::Heartbeat&, Millis) override {
--- a/tests/control_sharding_test.cpp
+++ b/tests/control_sharding_test.cpp
@@ -12,17 +12,10 @@
 using jobs::Job;
 using kvstore::Status;
 using machines::Machine;
+using test::committed;
 using test::ControlFixture;
 using test::RecordingGateway;
 
-// A transaction was executed at this revision.
-kvstore::CommitReply committed(std::uint64_t revision) {
-    kvstore::CommitReply reply;
-    reply.status = Status::ok;
-    reply.revision = revision;
-    return reply;
-}
-
 peers::Status status_of_holder(std::uint64_t incarnation) {
     peers::Status status;
     status.from = "holder-0";
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -1,19 +1,14 @@
-// nickelrampctl against a real users' desk on loopback: what it asks whom, when it asks again, what
-// it prints and how it ends.
+// nickelrampctl against a service on loopback: what it asks whom, when it asks again, what it
+// prints and how it ends.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include <sstream>
-#include <thread>
-
 #include "ctl/config.h"
 #include "ctl/program.h"
 #include "ctl/retry_policy.h"
 #include "ctl/show.h"
-#include "net/address.h"
-#include "net/http_server.h"
 #include "tests/cluster_simulation.h"
-#include "tests/emulator.h"
+#include "tests/ctl_service.h"
 
 namespace {
 
@@ -91,48 +86,29 @@
               "id        n\njob-1     7\nx      1000\n");
 }
 
-// A desk that says what a test wants, and remembers what it was asked.
+const std::string kThere = "127.0.0.1:39310", kNowhere = "127.0.0.1:39311";
+
 struct CtlOnLoopback : testing::Test {
-    uv_loop_t loop;
-    std::vector<std::string> asked;
-    std::vector<net::Response> answers;  // in order; the last again and again
-    std::unique_ptr<net::HttpServer> server;
+    test::CtlService service{kThere};
+    std::vector<net::Response>& answers = service.answers;
     std::string said, complained;
-    CtlOnLoopback() {
-        uv_loop_init(&loop);
-        server = std::make_unique<net::HttpServer>(
-            &loop, 8, [this](const net::Request& q, net::Responder r) {
-                asked.push_back(q.method + " " + q.path);
-                const std::size_t n = std::min(asked.size(), answers.size());
-                r.send(answers[n - 1]);
-            });
-        EXPECT_EQ(server->listen(*net::parse_address("127.0.0.1:39310")), 0);
+    int ctl(const std::vector<std::string>& arguments, const std::string& input = "") {
+        const test::CtlRun run = service.run(arguments, input);
+        said = run.out;
+        complained = run.err;
+        return run.exit_code;
     }
-    ~CtlOnLoopback() override {
-        server.reset();
-        uv_run(&loop, UV_RUN_NOWAIT);
-        uv_run(&loop, UV_RUN_NOWAIT);
-        uv_loop_close(&loop);
-    }
-    int ctl(std::vector<std::string> arguments, const std::string& in = "") {
-        std::stringstream from(in), out, err;
-        std::atomic<bool> over = false;
-        int code = -1;
-        std::thread t([&] {
-            code = ctl::run(arguments, from, out, err);
-            over = true;
-        });
-        EXPECT_TRUE(test::run_until(&loop, [&] { return over.load(); }));
-        t.join();
-        said = out.str();
-        complained = err.str();
-        return code;
+    // Method and path of each request.
+    std::vector<std::string> asked() const {
+        std::vector<std::string> lines;
+        for (const net::Request& request : service.requests)
+            lines.push_back(request.method + " " + request.path);
+        return lines;
     }
     static net::Response cbor(int status, const Json& body, int retry_after = 0) {
         return {status, wire::encode(body), retry_after, "application/cbor"};
     }
 };
-const std::string kThere = "127.0.0.1:39310", kNowhere = "127.0.0.1:39311";
 
 TEST_F(CtlOnLoopback, RetriesASubmissionUntilItIsAccepted) {
     answers = {cbor(503, {{"error", "try again"}}, 1),
@@ -141,7 +117,7 @@
     EXPECT_EQ(ctl({"--controller", kNowhere, "--controller", kThere, "submit", "-"}, job),
               ctl::kExitOk);
     EXPECT_EQ(said, "job-5 is pending\n");
-    EXPECT_EQ(asked, (std::vector<std::string>{"POST /work", "POST /work"}));
+    EXPECT_EQ(asked(), (std::vector<std::string>{"POST /work", "POST /work"}));
 }
 
 TEST_F(CtlOnLoopback, PassesOnRejectionsOfTheService) {
@@ -149,7 +125,7 @@
     const std::string job = test::job("job-5", "sweep", 2, 0).dump();
     EXPECT_EQ(ctl({"--controller", kThere, "submit", "-"}, job), ctl::kExitRejected);
     EXPECT_EQ(complained, "the service says 422: unknown team\n");
-    EXPECT_EQ(asked.size(), 1u);
+    EXPECT_EQ(asked().size(), 1u);
 }
 
 TEST_F(CtlOnLoopback, WatchesAJobUntilItFinishes) {
@@ -182,7 +158,7 @@
     EXPECT_EQ(said,
               "id     class  objective  within_s  left_s  why\n"
               "job-9  train  finish           60    -2.5  allowed machines are full\n");
-    EXPECT_EQ(asked.size(), 2u);
+    EXPECT_EQ(asked().size(), 2u);
 }
 
 // Asked of whoever leads, waited for, and read page by page.
@@ -224,9 +200,9 @@
               "m-2      g4    a        0      0       0      7.5\n\n"
               "job    task  machine  due_s  ends_s  why                         instead\n"
               "job-1     0  m-1         30    40.5  it would miss its deadline  later\n");
-    EXPECT_EQ(asked, (std::vector<std::string>{"POST /admin/plans", "POST /admin/plans",
-                                               "GET /admin/plans/up", "GET /admin/plans/up",
-                                               "GET /admin/plans/up"}));
+    EXPECT_EQ(asked(), (std::vector<std::string>{"POST /admin/plans", "POST /admin/plans",
+                                                 "GET /admin/plans/up", "GET /admin/plans/up",
+                                                 "GET /admin/plans/up"}));
 }
 
 TEST_F(CtlOnLoopback, ReportsThatNoControllerAnswers) {
@@ -252,7 +228,7 @@
             << (words.empty() ? "" : words.back());
         EXPECT_FALSE(complained.empty());
     }
-    EXPECT_TRUE(asked.empty());
+    EXPECT_TRUE(asked().empty());
 }
 
 }  // namespace
--- a/tests/golden.cpp
+++ b/tests/golden.cpp
@@ -149,7 +149,7 @@
         }
         out += "\nset " + write.key;
         if (write.lease_id != 0) out += " with lease " + std::to_string(write.lease_id);
-        out += "\n" + shown_value(*write.value);
+        out.append("\n").append(shown_value(*write.value));
     }
     return out;
 }
--- a/tests/golden_ctl_test.cpp
+++ b/tests/golden_ctl_test.cpp
@@ -1,14 +1,10 @@
 // nickelrampctl: what it asks the controllers, what it prints, its messages and exit codes.
-#include <sstream>
 #include <stdexcept>
-#include <thread>
 
 #include "ctl/config.h"
 #include "ctl/program.h"
 #include "ctl/show.h"
-#include "net/address.h"
-#include "net/http_server.h"
-#include "tests/emulator.h"
+#include "tests/ctl_service.h"
 #include "tests/golden.h"
 #include "tests/golden_samples.h"
 
@@ -80,46 +76,31 @@
             {"passed_over", {"m-9 is not known", 5}}};
 }
 
+// One request as it is recorded.
+std::string shown(const net::Request& request) {
+    std::string line = request.method;
+    line.append(" ").append(request.path);
+    if (!request.query.empty()) line.append("?").append(request.query);
+    if (request.body.empty()) return line;
+    const bool printable = request.body.front() == '{' || request.body.front() == '[';
+    line.append(" ");
+    if (printable) return line.append(request.body);
+    return line.append("CBOR ").append(wire::decode_map(request.body).value_or(Json()).dump());
+}
+
 class GoldenCtl : public test::golden::Recorded {
   protected:
-    GoldenCtl() {
-        uv_loop_init(&loop);
-        server = std::make_unique<net::HttpServer>(
-            &loop, 8, [this](const net::Request& q, const net::Responder& r) {
-                asked += q.method + " " + q.path + (q.query.empty() ? "" : "?" + q.query) +
-                         (q.body.empty() ? "" : " " + shown_body(q.body)) + "\n";
-                r.send(answers[std::min(given, answers.size() - 1)]);
-                ++given;
-            });
-        EXPECT_EQ(server->listen(*net::parse_address(kThere)), 0);
-    }
-    ~GoldenCtl() override {
-        server.reset();
-        uv_run(&loop, UV_RUN_NOWAIT);
-        uv_run(&loop, UV_RUN_NOWAIT);
-        uv_loop_close(&loop);
-    }
-    static std::string shown_body(const std::string& body) {
-        const bool printable = body.front() == '{' || body.front() == '[';
-        return printable ? body : "CBOR " + wire::decode_map(body).value_or(Json()).dump();
-    }
     // Runs a command against the prepared answers and records all that is seen of it.
     void run(const std::string& entry, std::vector<std::string> arguments,
              const std::string& input = "", const std::string& controller = kThere) {
         if (!controller.empty()) arguments.insert(arguments.begin(), {"--controller", controller});
-        asked.clear();
-        given = 0;
-        std::stringstream in(input), out, err;
-        std::atomic<bool> over = false;
-        int code = -1;
-        std::thread thread([&] {
-            code = ctl::run(arguments, in, out, err);
-            over = true;
-        });
-        EXPECT_TRUE(test::run_until(&loop, [&] { return over.load(); }));
-        thread.join();
-        text(entry, "exit " + std::to_string(code) + "\nasked:\n" + asked + "out:\n" + out.str() +
-                        "err:\n" + err.str());
+        service.requests.clear();
+        const test::CtlRun run = service.run(arguments, input);
+        std::string seen = "exit " + std::to_string(run.exit_code) + "\nasked:\n";
+        for (const net::Request& request : service.requests)
+            seen.append(shown(request)).append("\n");
+        seen.append("out:\n").append(run.out).append("err:\n").append(run.err);
+        text(entry, seen);
     }
     void answer_json(int status, const Json& body) {
         answers = {{status, body.dump(), 0, "application/json"}};
@@ -127,11 +108,8 @@
     void answer_cbor(int status, const Json& body) {
         answers = {{status, wire::encode(body), 0, "application/cbor"}};
     }
-    uv_loop_t loop;
-    std::string asked;
-    std::vector<net::Response> answers;  // in order; the last again and again
-    std::size_t given = 0;
-    std::unique_ptr<net::HttpServer> server;
+    test::CtlService service{kThere};
+    std::vector<net::Response>& answers = service.answers;
 };
 
 TEST_F(GoldenCtl, CommandsOnJobs) {
--- a/tests/job_requests_test.cpp
+++ b/tests/job_requests_test.cpp
@@ -257,7 +257,8 @@
     std::string body = encoded_job({});
     const auto count = body.find("legs\3") + 4;
     EXPECT_GT(count, 4u);
-    body.replace(count, 1, "\x3b" + std::string(7, '\xff') + "\xfd");
+    const std::string below_64_bits = "\x3b\xff\xff\xff\xff\xff\xff\xff\xfd";
+    body.replace(count, 1, below_64_bits);
     EXPECT_EQ((*wire::decode_map(body))["legs"], 2);
     return body;
 }
