--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -83,16 +83,17 @@
     std::optional<JobRequirement> requirement = requirement_of(job);
     if (!requirement) return;
     if (job.spec.shape == wire::Shape::array) subtract_slots_freed_soon(*requirement);
-    const bool is_split_gang = job.is_gang() && job.spec.one_zone && job.spec.tasks > 1;
-    if (is_split_gang && requirement->zone == kNone) choose_gang_zone(*requirement);
+    const bool is_one_zone_gang = job.is_gang() && job.spec.one_zone && job.spec.tasks > 1;
+    if (is_one_zone_gang && requirement->zone == kNone) choose_gang_zone(*requirement);
     for (PlannedMachine& machine : machines_) {
         if (requirement->tasks == 0) break;
         pack(*requirement, machine);
     }
-    while (requirement->tasks > 0) {
+    while (requirement->tasks > 0 && !limit_reached()) {
         const std::optional<MachineKind> kind =
             cheapest_kind(*requirement, requirement->zone, PriceLimit::not_expensive);
-        if (!request_limited(kind)) break;
+        if (!kind) break;
+        request_limited(*kind);
         add_machine(*kind);
         pack(*requirement, machines_.back());
     }
@@ -218,8 +219,11 @@
     missing = use_planned_for_replicas(missing);
     const std::uint32_t slots_per_machine = FreeResources::of(cluster_.types()[headroom.type])
                                                 .tasks_that_fit(headroom.need, kMaxReplicaSlots);
-    while (missing > 0 && request_limited(in_emptiest_zone(headroom.type, false)))
-        missing -= slots_per_machine;
+    for (; missing > 0 && !limit_reached(); missing -= slots_per_machine) {
+        const std::optional<MachineKind> kind = in_emptiest_zone(headroom.type, false);
+        if (!kind) break;
+        request_limited(*kind);
+    }
 }
 
 // Sets slots on ordinary, not expensive planned machines aside for replicas.
@@ -251,10 +255,11 @@
     const JobRequirement requirement{
         &job, placement::need_of(job), job.spec.tasks, job.zone,
         ZoneTaskCounts(job, std::vector<std::uint32_t>(cluster_.zones().size()))};
-    while (cpus > 0) {
+    while (cpus > 0 && !limit_reached()) {
         const std::optional<MachineKind> kind =
             cheapest_kind(requirement, requirement.zone, PriceLimit::any);
-        if (!request_limited(kind)) break;
+        if (!kind) break;
+        request_limited(*kind);
         cpus -= std::max(1.0, cluster_.types()[kind->type].cpus);
     }
 }
@@ -270,7 +275,11 @@
             if (machine.kind.spot && machine.kind.type == type)
                 missing -= machine.free.cpus / std::max(1.0, cluster_.types()[type].cpus);
         }
-        while (missing >= 1 && request_limited(in_emptiest_zone(type, true))) missing -= 1;
+        for (; missing >= 1 && !limit_reached(); missing -= 1) {
+            const std::optional<MachineKind> kind = in_emptiest_zone(type, true);
+            if (!kind) break;
+            request_limited(*kind);
+        }
     }
 }
 
@@ -336,12 +345,13 @@
     ++machines_by_zone_[kind.zone];
 }
 
-// @return false if there is no such kind, or if the round asks for enough already.
-bool ScaleOutPlan::request_limited(const std::optional<MachineKind>& kind) {
-    if (!kind || limited_request_count_ >= kMaxLimitedRequests) return false;
+// Asked before a kind is looked for: the search costs far more.
+bool ScaleOutPlan::limit_reached() const { return limited_request_count_ >= kMaxLimitedRequests; }
+
+// A request that counts against the limit of one round.
+void ScaleOutPlan::request_limited(const MachineKind& kind) {
     ++limited_request_count_;
-    request(*kind);
-    return true;
+    request(kind);
 }
 
 }  // namespace nickelramp::autoscaling
--- a/src/autoscaling/scale_out_plan.h
+++ b/src/autoscaling/scale_out_plan.h
@@ -90,7 +90,8 @@
                                    PriceLimit limit) const;
     [[nodiscard]] std::optional<cloud::MachineKind> in_emptiest_zone(Index type, bool spot) const;
     void request(const cloud::MachineKind& kind);
-    [[nodiscard]] bool request_limited(const std::optional<cloud::MachineKind>& kind);
+    [[nodiscard]] bool limit_reached() const;
+    void request_limited(const cloud::MachineKind& kind);
 
     const cluster::TermContext& term_;
     cluster::ClusterState& cluster_;
