--- a/tests/evidence_test.cpp
+++ b/tests/evidence_test.cpp
@@ -45,6 +45,7 @@
             return m;
         };
         auto judge = [&](const Message& m, Proof p) {
+            test::test_trace().add(now, "proof", m.made, static_cast<int>(p));
             fresh += p == Proof::fresh;
             anew += p == Proof::anew;
             copies += p == Proof::copy;
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -6,6 +6,8 @@
 #include <algorithm>
 #include <random>
 
+#include "tests/trace.h"
+
 namespace {
 
 using nickelramp::links::Answer;
@@ -158,6 +160,8 @@
                 else
                     ++rejected;
             }
+            nickelramp::test::test_trace().add(round, "outcome", static_cast<int>(out.answer),
+                                               out.accepted, out.rejected, out.violated);
             violated = !out.violated.empty();
             auto index = [&](Event x) {
                 return static_cast<std::size_t>(std::find(events.begin(), events.end(), x) -
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -30,6 +30,21 @@
     double cpus = 0, gpus = 0;
 };
 
+// Who is where, by job, task and attempt.
+void trace_places(const Parts& p) {
+    std::map<std::tuple<std::string, std::uint32_t, std::uint32_t>, std::string> places;
+    for (const auto& [id, j] : p.book.jobs()) {
+        for (const auto& a : j->attempts) {
+            if (!a->live()) continue;
+            places[{id, a->task, a->number}] = p.book.machine_of(*a)->name;
+        }
+    }
+    for (const auto& [attempt, machine] : places) {
+        const auto& [id, task, number] = attempt;
+        test::test_trace().add(0, "place", id, task, number, machine);
+    }
+}
+
 void recount(Parts& p) {
     std::map<Index, Sums> teams;
     std::map<const Machine*, std::vector<const Attempt*>> on;
@@ -240,6 +255,7 @@
         for (auto [what, k] : steps) {
             h.step(what, k);
             recount(h.p);
+            trace_places(h.p);
         }
     }));
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -5,6 +5,7 @@
 
 #include "peers/messages.h"
 #include "peers/standing.h"
+#include "tests/trace.h"
 
 namespace {
 
@@ -28,6 +29,7 @@
 }
 
 std::string body_of(const std::string& bytes) {
+    nickelramp::test::test_trace().add(0, "frame", nickelramp::test::traced(Speech{bytes}));
     Framer f;
     f.add(bytes);
     auto frame = f.next();
--- a/tests/silence_test.cpp
+++ b/tests/silence_test.cpp
@@ -43,6 +43,7 @@
             now += 500;
             d.look(now);
             const Sky sky = d.sky(0);
+            test::test_trace().add(now, "sky", static_cast<int>(sky));
             RC_ASSERT((sky == Sky::dark) ==
                       (silent * 2 > up || (silent >= 4 && silent >= 0.3 * up)));
             if (sky == Sky::clear) {
@@ -58,6 +59,7 @@
                 s.lease_until = now + 20'000;
                 const bool yes = d.give_up(0, s, 10'000, now);
                 given += yes ? 1 : 0;
+                test::test_trace().add(now, "give-up", yes);
                 if (sky == Sky::dark) RC_ASSERT(!yes || s.stuck);
             }
             const double rate = std::max(1.0, 0.02 * up);
--- a/tests/town.h
+++ b/tests/town.h
@@ -16,6 +16,7 @@
 
 #include "duties/office.h"
 #include "leadership/term.h"
+#include "tests/trace.h"
 
 namespace nickelramp::test {
 
@@ -100,6 +101,7 @@
     void end_hold(std::uint64_t hold);
     void look_at_holds();
 
+    Trace trace_;
     std::mt19937_64 random_;
     Millis now_ = 0;
     std::multimap<Millis, std::function<void()>> queue_;
--- /dev/null
+++ b/tests/trace.cpp
@@ -0,0 +1,233 @@
+#include "tests/trace.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <cstdlib>
+#include <map>
+#include <memory>
+
+namespace nickelramp::test {
+
+namespace {
+
+// FNV-1a, 64 bits: http://www.isthe.com/chongo/tech/comp/fnv/
+constexpr std::uint64_t kFnvBasis = 0xcbf29ce484222325, kFnvPrime = 0x100000001b3;
+
+std::uint64_t extend_hash(std::uint64_t hash, std::string_view bytes) {
+    for (const char byte : bytes) {
+        hash ^= static_cast<unsigned char>(byte);
+        hash *= kFnvPrime;
+    }
+    return hash;
+}
+
+std::string hexadecimal(std::string_view bytes) {
+    constexpr char kDigits[] = "0123456789abcdef";
+    std::string out;
+    out.reserve(2 * bytes.size());
+    for (const char c : bytes) {
+        const auto byte = static_cast<unsigned char>(c);
+        out += kDigits[byte >> 4];
+        out += kDigits[byte & 15];
+    }
+    return out;
+}
+
+std::string current_test() {
+    const testing::TestInfo* info = testing::UnitTest::GetInstance()->current_test_info();
+    return std::string(info->test_suite_name()) + "." + info->name();
+}
+
+// The value of an environment variable; empty if it is not set.
+std::string folder_from(const char* variable) {
+    const char* value = std::getenv(variable);
+    return value == nullptr ? "" : value;
+}
+
+const char* name_of(wire::Command::Op op) {
+    switch (op) {
+        case wire::Command::Op::start:
+            return "start";
+        case wire::Command::Op::stop:
+            return "stop";
+        case wire::Command::Op::forget:
+            return "forget";
+    }
+    return "unknown";
+}
+
+// What is on record: the lines of each test, by the test's name.
+using Lines = std::vector<std::string>;
+
+std::map<std::string, Lines> read_golden() {
+    std::map<std::string, Lines> by_test;
+    std::ifstream file(NICKELRAMP_GOLDEN_TRACES);
+    for (std::string line; std::getline(file, line);) {
+        by_test[line.substr(0, line.find(' '))].push_back(line);
+    }
+    return by_test;
+}
+
+}  // namespace
+
+// Collects the traces of the current test, and compares or records them when it ends.
+class TraceRecorder : public testing::EmptyTestEventListener {
+  public:
+    // Registered with the test framework on first use, which owns it.
+    static TraceRecorder& instance() {
+        static TraceRecorder* const recorder = [] {
+            auto* made = new TraceRecorder;
+            testing::UnitTest::GetInstance()->listeners().Append(made);
+            return made;
+        }();
+        return *recorder;
+    }
+
+    std::size_t next_ordinal() { return ++last_ordinal_; }
+    void ended(std::size_t ordinal, std::string line) { lines_[ordinal] = std::move(line); }
+    Trace& shared() {
+        if (!shared_) shared_.reset(new Trace(0));
+        return *shared_;
+    }
+
+    void OnTestStart(const testing::TestInfo&) override {
+        last_ordinal_ = 0;
+        lines_.clear();
+    }
+    void OnTestEnd(const testing::TestInfo&) override {
+        shared_.reset();
+        Lines found;
+        for (auto& [ordinal, line] : lines_) found.push_back(std::move(line));
+        const std::string folder = folder_from("NICKELRAMP_RECORD_TRACES");
+        if (folder.empty())
+            compare(found);
+        else if (!found.empty())
+            record(folder, found);
+    }
+
+  private:
+    static void record(const std::string& folder, const Lines& found) {
+        std::ofstream file(folder + "/" + current_test() + ".txt");
+        for (const std::string& line : found) file << line << "\n";
+        EXPECT_TRUE(file.good()) << "traces cannot be written to " << folder;
+    }
+    // The first difference is enough: what follows it often comes of it.
+    static void compare(const Lines& found) {
+        static const std::map<std::string, Lines> golden = read_golden();
+        const auto it = golden.find(current_test());
+        const Lines expected = it == golden.end() ? Lines{} : it->second;
+        const auto [differs, other] =
+            std::mismatch(found.begin(), found.end(), expected.begin(), expected.end());
+        if (differs == found.end() && other == expected.end()) return;
+        ADD_FAILURE() << "traces differ from those on record; the first that does\n"
+                      << "  now:       " << (differs == found.end() ? "none" : *differs) << "\n"
+                      << "  on record: " << (other == expected.end() ? "none" : *other) << "\n"
+                      << "If behaviour was to change, tools/traces records them anew.";
+    }
+
+    std::size_t last_ordinal_ = 0;
+    std::map<std::size_t, std::string> lines_;
+    std::unique_ptr<Trace> shared_;
+};
+
+namespace {
+// So that tests are also looked at whose traces are on record and which have none any more.
+[[maybe_unused]] const TraceRecorder& registered = TraceRecorder::instance();
+}  // namespace
+
+Trace::Trace() : Trace(TraceRecorder::instance().next_ordinal()) {}
+
+Trace::Trace(std::size_t ordinal) : ordinal_(ordinal), hash_(kFnvBasis) {
+    const std::string folder = folder_from("NICKELRAMP_TRACE_EVENTS");
+    if (folder.empty()) return;
+    full_.open(folder + "/" + current_test() + "-" + std::to_string(ordinal_) + ".txt");
+}
+
+Trace::~Trace() {
+    char hash[17];
+    std::snprintf(hash, sizeof hash, "%016llx", static_cast<unsigned long long>(hash_));
+    TraceRecorder::instance().ended(ordinal_, current_test() + " " + std::to_string(ordinal_) +
+                                                  " " + std::to_string(events_) + " " + hash);
+}
+
+void Trace::append(const Json& event) {
+    constexpr int kCompact = -1;
+    std::string line =
+        event.dump(kCompact, ' ', true, Json::error_handler_t::replace);  // texts may be no UTF-8
+    line += '\n';
+    ++events_;
+    hash_ = extend_hash(hash_, line);
+    if (full_.is_open()) full_ << line;
+}
+
+Trace& test_trace() { return TraceRecorder::instance().shared(); }
+
+Json traced(const state::Txn& txn) {
+    Json conditions = Json::array(), writes = Json::array();
+    for (const state::Condition& c : txn.conditions) {
+        Json condition = Json::array();
+        condition.push_back(c.key);
+        condition.push_back(c.version);
+        conditions.push_back(std::move(condition));
+    }
+    for (const state::Write& w : txn.writes) {
+        Json write = Json::array();
+        write.push_back(w.value ? "put" : "delete");
+        write.push_back(w.key);
+        write.push_back(w.lease);
+        if (w.value) write.push_back(*w.value);
+        writes.push_back(std::move(write));
+    }
+    Json out = Json::array();
+    out.push_back(std::move(conditions));
+    out.push_back(std::move(writes));
+    out.push_back(static_cast<int>(txn.urgency));
+    return out;
+}
+
+Json traced(const std::vector<wire::Command>& commands) {
+    Json out = Json::array();
+    for (const wire::Command& c : commands) {
+        Json command = Json::array();
+        command.push_back(name_of(c.op));
+        command.push_back(c.job);
+        command.push_back(c.task);
+        command.push_back(c.attempt);
+        command.push_back(c.grace_s);
+        out.push_back(std::move(command));
+    }
+    return out;
+}
+
+Json traced(const dispatch::CheckinAnswer& answer) {
+    Json out = Json::array();
+    out.push_back(answer.status);
+    out.push_back(answer.holder);
+    out.push_back(answer.token);
+    out.push_back(traced(answer.commands));
+    return out;
+}
+
+Json traced(const fleet::HireReply& reply) {
+    Json out = Json::array();
+    out.push_back(static_cast<int>(reply.result));
+    out.push_back(reply.machines);
+    return out;
+}
+
+Json traced(const peers::Speech& message) { return hexadecimal(message.frame); }
+
+Json traced(const peers::Order& message) { return hexadecimal(message.frame); }
+
+Json traced(const net::Response& response) {
+    Json out = Json::array();
+    out.push_back(response.status);
+    out.push_back(hexadecimal(response.body));
+    out.push_back(response.retry_after_s);
+    out.push_back(response.type);
+    return out;
+}
+
+}  // namespace nickelramp::test
--- a/tests/users.h
+++ b/tests/users.h
@@ -10,6 +10,7 @@
 namespace nickelramp::test {
 
 struct Store {
+    Trace trace;
     struct Change {
         std::uint64_t revision;
         std::string key;
@@ -30,6 +31,7 @@
     bool down = false;     // for everybody
     Millis get_takes = 0;  // from the execution of a get to its answer; 0: a while
     std::size_t reads = 0, applied_late = 0, answers_lost = 0;
+    std::size_t controllers = 0;  // made so far
 
     void at(Millis t, std::function<void()> f) { queue.emplace(t, std::move(f)); }
     Millis some(Millis most) {
@@ -141,6 +143,7 @@
 
 struct Controller : jobs::Records {
     Store& store;
+    std::size_t number;  // in the order of their construction
     wire::Settings settings = world_settings();
     jobs::Answers answers;
     jobs::Desk desk;
@@ -148,6 +151,7 @@
     bool dead = false;     // sends nothing and hears nothing any more
     explicit Controller(Store& s, std::size_t half = 10'000)
         : store(s),
+          number(++s.controllers),
           answers(
               *this, 100, [this](Millis at) { store.at(at, [this] { tend(); }); }, half),
           desk(settings, *this, answers,
@@ -157,6 +161,30 @@
                     running = 1;
                     return true;
                 }}) {}
+    template <typename... Fields>
+    void trace(const char* kind, const Fields&... fields) {
+        store.trace.add(store.now, kind, number, fields...);
+    }
+    // A user's request, and what the desk answers to it.
+    void handle(const net::Request& request, jobs::Desk::Respond respond) {
+        const bool taken = desk.handle(
+            request, [this, request, respond = std::move(respond)](const net::Response& response) {
+                trace("user-answer", request.method, request.path, traced(response));
+                respond(response);
+            });
+        if (!taken) trace("not-taken", request.method, request.path);
+    }
+    // A question for what is known of a job.
+    void ask(const std::string& id, Millis patience, jobs::Answers::Done done) {
+        answers.ask(
+            id, patience,
+            [this, id, done = std::move(done)](jobs::Answers::Found found, const jobs::Told& told) {
+                trace("told", id, static_cast<int>(found), told.version, told.tasks,
+                      told.final ? static_cast<int>(*told.final) : -1);
+                done(found, told);
+            },
+            store.now);
+    }
     void tend() {
         if (!dead) answers.tend(store.now);
     }
@@ -167,6 +195,7 @@
         };
     }
     void get(const std::string& key, Millis wait, Done<state::GetReply> done) override {
+        trace("get", key, wait);
         store.call<state::GetReply>(
             refused, wait,
             [this, key] {
@@ -181,20 +210,24 @@
     }
     void changes(const std::string& prefix, std::uint64_t after,
                  Done<state::ListReply> done) override {
+        trace("changes", prefix, after);
         store.call<state::ListReply>(
             refused, 1'000, [this, prefix, after] { return store.changes(prefix, after); },
             heard(std::move(done)));
     }
     void revision(Done<state::ListReply> done) override {
+        trace("revision");
         store.call<state::ListReply>(
             refused, 1'000, [this] { return store.changes("none", store.revision); },
             heard(std::move(done)));
     }
     void commit(const state::Txn& txn, Millis wait, Done<state::CommitReply> done) override {
+        trace("commit", traced(txn), wait);
         store.commit(refused, txn, wait, heard(std::move(done)));
     }
     void watch(const std::string& prefix, std::uint64_t after, Millis wait,
                Done<state::ListReply> done) override {
+        trace("watch", prefix, after, wait);
         store.watch(prefix, after, store.now + wait, heard(std::move(done)));
     }
 };
