--- a/standin/cloud.cpp
+++ b/emulator/cloud_emulator.cpp
@@ -1,11 +1,11 @@
-#include "standin/cloud.h"
+#include "emulator/cloud_emulator.h"
 
 #include <cstdio>
 
+#include "emulator/query.h"
 #include "net/address.h"
-#include "standin/query.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 using wire::Json;
 
@@ -19,7 +19,8 @@
 }
 }  // namespace
 
-Cloud::Cloud(uv_loop_t* loop, CloudSettings settings, Workers& workers, std::uint64_t seed)
+CloudEmulator::CloudEmulator(uv_loop_t* loop, CloudSettings settings, WorkerEmulator& workers,
+                             std::uint64_t seed)
     : loop_(loop),
       settings_(std::move(settings)),
       workers_(workers),
@@ -31,11 +32,11 @@
     boot_timer_.every(kBootEvery);
 }
 
-int Cloud::listen(const std::string& address) {
+int CloudEmulator::listen(const std::string& address) {
     return server_.listen(*net::parse_address(address));
 }
 
-Json Cloud::types() const {
+Json CloudEmulator::types() const {
     return {{"rigs",
              {{{"name", settings_.type},
                {"cores", settings_.cpus},
@@ -49,36 +50,36 @@
                {"yards", settings_.zones}}}}};
 }
 
-void Cloud::rent(const Json& body, const net::Responder& r) {
-    const auto request = wire::text(body, "hire"), zone = wire::text(body, "yard");
-    const auto count = wire::count(body, "count");
+void CloudEmulator::rent(const Json& body, const net::Responder& r) {
+    const auto request = wire::text_field(body, "hire"), zone = wire::text_field(body, "yard");
+    const auto count = wire::count_field(body, "count");
     if (!request || !zone || !count) return reply(r, 400, Json::object());
     auto known = rentals_.find(*request);
     if (known != rentals_.end()) return reply(r, 200, {{"hosts", known->second}});
-    const bool spot = wire::flag(body, "standby").value_or(false);
+    const bool spot = wire::flag_field(body, "standby").value_or(false);
     std::set<std::size_t>& free = free_[spot];
     if (free.empty()) return reply(r, 503, {{"error", "no capacity"}});
     std::vector<std::string>& names = rentals_[*request];
     while (names.size() < std::min<std::size_t>(*count, kMostRented) && !free.empty()) {
         char name[32];
         std::snprintf(name, sizeof name, "i-%06zu", ++last_name_);
-        Machine m;
-        m.number = *free.begin();
+        Machine machine;
+        machine.number = *free.begin();
         free.erase(free.begin());
-        m.zone = *zone;
-        m.spot = spot;
-        m.rented_at = now();
+        machine.zone = *zone;
+        machine.spot = spot;
+        machine.rented_at = now();
         std::uniform_real_distribution<double> spread(0.6, 1.5);
-        m.up_at = now() + seconds(settings_.boot_s * spread(random_));
-        boots_.emplace(m.up_at, name);
-        machines_.emplace(name, std::move(m));
+        machine.up_at = now() + seconds(settings_.boot_s * spread(random_));
+        boots_.emplace(machine.up_at, name);
+        machines_.emplace(name, std::move(machine));
         names.push_back(name);
         ++counters_.rented;
     }
     reply(r, 200, {{"hosts", names}});
 }
 
-void Cloud::boot() {
+void CloudEmulator::boot() {
     while (!boots_.empty() && boots_.begin()->first <= now()) {
         auto it = machines_.find(boots_.begin()->second);
         boots_.erase(boots_.begin());
@@ -89,7 +90,7 @@
     }
 }
 
-void Cloud::take_back(const Json& body, const net::Responder& r) {
+void CloudEmulator::take_back(const Json& body, const net::Responder& r) {
     const Json* hosts = wire::field(body, "hosts");
     if (hosts == nullptr || !hosts->is_array()) return reply(r, 400, Json::object());
     for (const Json& host : *hosts) {
@@ -103,7 +104,7 @@
     reply(r, 200, Json::object());
 }
 
-void Cloud::fail_one() {
+void CloudEmulator::fail_one() {
     std::vector<const std::string*> up;
     for (const auto& [name, m] : machines_) {
         if (m.up && !m.failed) up.push_back(&name);
@@ -114,26 +115,27 @@
     workers_.remove(name);
 }
 
-void Cloud::list(const net::Request& q, const net::Responder& r) const {
+void CloudEmulator::list(const net::Request& q, const net::Responder& r) const {
     const auto limit = static_cast<std::size_t>(number(q.query, "limit", kMostListed));
     auto it = machines_.upper_bound(parameter(q.query, "from"));
     Json hosts = Json::array();
     for (; it != machines_.end() && hosts.size() < std::min(limit, kMostListed); ++it) {
-        const Machine& m = it->second;
-        hosts.push_back({{"id", it->first},
-                         {"address", workers_.address(m.number)},
-                         {"rig", settings_.type},
-                         {"yard", m.zone},
-                         {"standby", m.spot},
-                         {"status", m.failed ? "failed"
-                                    : m.up   ? "running"
-                                             : "booting"},
-                         {"age_s", static_cast<double>(now() - m.rented_at) / kMillisPerSecond}});
+        const Machine& machine = it->second;
+        hosts.push_back(
+            {{"id", it->first},
+             {"address", workers_.address(machine.number)},
+             {"rig", settings_.type},
+             {"yard", machine.zone},
+             {"standby", machine.spot},
+             {"status", machine.failed ? "failed"
+                        : machine.up   ? "running"
+                                       : "booting"},
+             {"age_s", static_cast<double>(now() - machine.rented_at) / kMillisPerSecond}});
     }
     reply(r, 200, {{"hosts", hosts}, {"truncated", it != machines_.end()}});
 }
 
-void Cloud::handle(const net::Request& q, const net::Responder& r) {
+void CloudEmulator::handle(const net::Request& q, const net::Responder& r) {
     ++counters_.requests;
     if (!limit_.take(1, now())) {
         ++counters_.refused;
@@ -149,4 +151,4 @@
     q.path == "/hosts/return" ? take_back(*body, r) : rent(*body, r);
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/cloud.h
+++ b/emulator/cloud_emulator.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "emulator/state_service_emulator.h"
+#include "emulator/worker_emulator.h"
 #include "net/http_server.h"
 #include "net/timer.h"
-#include "standin/state_service.h"
-#include "standin/workers.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 struct CloudSettings {
     std::string type = "m64";
@@ -22,12 +22,13 @@
     std::size_t capacity = 0;  // machines in all; a third of them spot machines
 };
 
-class Cloud {
+class CloudEmulator {
   public:
     struct Counters {
         std::uint64_t requests = 0, refused = 0, rented = 0, returned = 0, listed = 0;
     };
-    Cloud(uv_loop_t* loop, CloudSettings settings, Workers& workers, std::uint64_t seed);
+    CloudEmulator(uv_loop_t* loop, CloudSettings settings, WorkerEmulator& workers,
+                  std::uint64_t seed);
     int listen(const std::string& address);  // 0 or a libuv error
     // A machine stops by itself, with all that is on it.
     void fail_one();
@@ -52,7 +53,7 @@
 
     uv_loop_t* loop_;
     const CloudSettings settings_;
-    Workers& workers_;
+    WorkerEmulator& workers_;
     std::mt19937_64 random_;
     net::HttpServer server_;
     net::Timer boot_timer_;
@@ -65,4 +66,4 @@
     Counters counters_;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/controllers.cpp
+++ b/emulator/controller_processes.cpp
@@ -1,4 +1,4 @@
-#include "standin/controllers.h"
+#include "emulator/controller_processes.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 using wire::Json;
 
@@ -61,18 +61,18 @@
     return out;
 }
 
-Controllers::Controllers(ControllerSettings settings)
+ControllerProcesses::ControllerProcesses(ControllerSettings settings)
     : settings_(std::move(settings)), pids_(settings_.count) {}
 
-Controllers::~Controllers() {
+ControllerProcesses::~ControllerProcesses() {
     for (std::size_t i = 0; i < pids_.size(); ++i) kill(i);
 }
 
-std::string Controllers::at(std::size_t i, int port) const {
+std::string ControllerProcesses::at(std::size_t i, int port) const {
     return "127.0.0.1:" + std::to_string(settings_.first_port + 2 * static_cast<int>(i) + port);
 }
 
-std::string Controllers::write_settings(std::size_t i) const {
+std::string ControllerProcesses::write_settings(std::size_t i) const {
     Json peers = Json::array();
     for (std::size_t k = 0; k < settings_.count; ++k) {
         if (k != i)
@@ -90,7 +90,7 @@
     return path;
 }
 
-std::string Controllers::start(std::size_t i) {
+std::string ControllerProcesses::start(std::size_t i) {
     const std::string settings = write_settings(i);
     const std::string log = settings_.directory + "/" + name(i) + ".log";
     const pid_t parent = getpid();
@@ -101,21 +101,21 @@
     return "";
 }
 
-std::string Controllers::start_all() {
+std::string ControllerProcesses::start_all() {
     for (std::size_t i = 0; i < pids_.size(); ++i) {
         if (std::string error = start(i); !error.empty()) return error;
     }
     return "";
 }
 
-void Controllers::kill(std::size_t i) {
+void ControllerProcesses::kill(std::size_t i) {
     if (pids_[i] == 0) return;
     ::kill(pids_[i], SIGKILL);
     waitpid(pids_[i], nullptr, 0);
     pids_[i] = 0;
 }
 
-std::size_t Controllers::ended_by_themselves() {
+std::size_t ControllerProcesses::ended_by_themselves() {
     for (pid_t& pid : pids_) {
         if (pid == 0 || waitpid(pid, nullptr, WNOHANG) != pid) continue;
         pid = 0;
@@ -124,4 +124,4 @@
     return ended_;
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/controllers.h
+++ b/emulator/controller_processes.h
@@ -10,7 +10,7 @@
 #include "base/time.h"
 #include "wire/cbor.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 struct ControllerSettings {
     std::string program, directory;  // the built program; where settings and logs go
@@ -28,12 +28,12 @@
 };
 Usage usage_of(pid_t pid);
 
-class Controllers {
+class ControllerProcesses {
   public:
-    explicit Controllers(ControllerSettings settings);
-    ~Controllers();
-    Controllers(const Controllers&) = delete;
-    Controllers& operator=(const Controllers&) = delete;
+    explicit ControllerProcesses(ControllerSettings settings);
+    ~ControllerProcesses();
+    ControllerProcesses(const ControllerProcesses&) = delete;
+    ControllerProcesses& operator=(const ControllerProcesses&) = delete;
 
     // Empty, or what went wrong.
     std::string start_all();
@@ -57,4 +57,4 @@
     std::size_t ended_ = 0;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/histogram.h
+++ b/emulator/histogram.h
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstdint>
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 class Histogram {
   public:
@@ -41,4 +41,4 @@
     double most_ = 0;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/main.cpp
+++ b/emulator/main.cpp
@@ -9,12 +9,12 @@
 #include <fstream>
 #include <iostream>
 
-#include "standin/scale_run.h"
+#include "emulator/scale_run.h"
 
 namespace {
 
-using nickelramp::standin::ScaleOptions;
-using nickelramp::standin::ScaleRun;
+using nickelramp::emulator::ScaleOptions;
+using nickelramp::emulator::ScaleRun;
 
 constexpr int kRuleBroken = 1, kBadInput = 2;
 constexpr std::size_t kMostControllers = 22, kMostWorkers = 12'000;
@@ -86,7 +86,7 @@
     ScaleRun run(options);
     running = &run;
     for (int s : {SIGINT, SIGTERM, SIGHUP}) signal(s, [](int) { running->stop(); });
-    if (std::string failed = run.play(); !failed.empty()) {
+    if (std::string failed = run.run(); !failed.empty()) {
         std::cerr << failed << "\n";
         return kBadInput;
     }
--- a/standin/rules.cpp
+++ b/emulator/protocol_rules.cpp
@@ -1,15 +1,15 @@
-#include "standin/rules.h"
+#include "emulator/protocol_rules.h"
 
 #include <spdlog/spdlog.h>
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 namespace {
 constexpr double kSlack = 1e-6;
 constexpr std::uint64_t kMostSaid = 5;  // of one rule
 }  // namespace
 
-JobTruth& Rules::submitted(wire::JobSpec spec, double run_s, Millis now) {
+JobTruth& ProtocolRules::submitted(wire::JobSpec spec, double run_s, Millis now) {
     JobTruth& job = jobs_[spec.id];
     job.task_done.resize(spec.tasks);
     job.spec = std::move(spec);
@@ -18,56 +18,58 @@
     return job;
 }
 
-JobTruth* Rules::find(const std::string& id) {
+JobTruth* ProtocolRules::find(const std::string& id) {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void Rules::came(const std::string& machine, JobTruth& job, std::uint32_t task, Millis now) {
+void ProtocolRules::task_arrived(const std::string& machine, JobTruth& job, std::uint32_t task,
+                                 Millis now) {
     auto [it, fresh] = on_machine_.emplace(key(job, task), machine);
-    if (!fresh) broken("ran_twice", key(job, task) + " on " + it->second + " and " + machine);
+    if (!fresh)
+        record_violation("ran_twice", key(job, task) + " on " + it->second + " and " + machine);
     if (job.told_cancelled_at != 0 && now - job.told_cancelled_at > cancel_)
-        broken("ran_cancelled", key(job, task) + " starts");
+        record_violation("ran_cancelled", key(job, task) + " starts");
     ++job.on_machines;
     double& gpus = gpus_[job.spec.team];
     gpus += job.spec.gpus;
     auto limit = gpu_limits_.find(job.spec.team);
     if (limit != gpu_limits_.end() && limit->second > 0 && gpus > limit->second + kSlack)
-        broken("quota", job.spec.team + " uses " + std::to_string(gpus));
+        record_violation("quota", job.spec.team + " uses " + std::to_string(gpus));
 }
 
-void Rules::went(JobTruth& job, std::uint32_t task) {
+void ProtocolRules::task_left(JobTruth& job, std::uint32_t task) {
     if (on_machine_.erase(key(job, task)) == 0) return;
     --job.on_machines;
     gpus_[job.spec.team] -= job.spec.gpus;
 }
 
-void Rules::completed(JobTruth& job, std::uint32_t task, Millis now) {
+void ProtocolRules::task_completed(JobTruth& job, std::uint32_t task, Millis now) {
     if (job.task_done[task]) return;
     job.task_done[task] = true;
     if (++job.done == job.spec.tasks) job.done_at = now;
 }
 
-void Rules::told(JobTruth& job, bool known, wire::JobStatus status, Millis now) {
+void ProtocolRules::user_told(JobTruth& job, bool known, wire::JobStatus status, Millis now) {
     if (!known) {
-        if (job.accepted_at != 0) broken("forgotten", job.spec.id);
+        if (job.accepted_at != 0) record_violation("forgotten", job.spec.id);
         return;
     }
     if (status == wire::JobStatus::done && job.done < job.spec.tasks)
-        broken("not_done", job.spec.id);
+        record_violation("not_done", job.spec.id);
     if (status == wire::JobStatus::cancelled && job.told_cancelled_at == 0)
         job.told_cancelled_at = now;
 }
 
-void Rules::check(Millis now) {
+void ProtocolRules::check(Millis now) {
     for (auto& [id, job] : jobs_) {
         const bool late = job.told_cancelled_at != 0 && now - job.told_cancelled_at > cancel_;
-        if (late && job.on_machines > 0) broken("ran_cancelled", id + " still runs");
+        if (late && job.on_machines > 0) record_violation("ran_cancelled", id + " still runs");
     }
 }
 
-void Rules::broken(const std::string& rule, const std::string& what) {
+void ProtocolRules::record_violation(const std::string& rule, const std::string& what) {
     if (++violations_[rule] <= kMostSaid) spdlog::error("rule {} is broken: {}", rule, what);
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/rules.h
+++ b/emulator/protocol_rules.h
@@ -11,7 +11,7 @@
 #include "base/time.h"
 #include "wire/messages.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 // What its user submitted, and what is known to be true of it.
 struct JobTruth {
@@ -23,24 +23,24 @@
     std::vector<bool> task_done;
 };
 
-class Rules {
+class ProtocolRules {
   public:
-    Rules(Millis cancel, std::map<std::string, double> gpu_limits)
+    ProtocolRules(Millis cancel, std::map<std::string, double> gpu_limits)
         : cancel_(cancel), gpu_limits_(std::move(gpu_limits)) {}
 
     JobTruth& submitted(wire::JobSpec spec, double run_s, Millis now);
     JobTruth* find(const std::string& job);
 
     // A task is on a machine from when it has its image until it is gone.
-    void came(const std::string& machine, JobTruth& job, std::uint32_t task, Millis now);
-    void went(JobTruth& job, std::uint32_t task);
-    void completed(JobTruth& job, std::uint32_t task, Millis now);
+    void task_arrived(const std::string& machine, JobTruth& job, std::uint32_t task, Millis now);
+    void task_left(JobTruth& job, std::uint32_t task);
+    void task_completed(JobTruth& job, std::uint32_t task, Millis now);
     // What a user was told; `known`: false for 404.
-    void told(JobTruth& job, bool known, wire::JobStatus status, Millis now);
+    void user_told(JobTruth& job, bool known, wire::JobStatus status, Millis now);
     // Jobs that were cancelled too long ago to have anything left.
     void check(Millis now);
 
-    void broken(const std::string& rule, const std::string& what);
+    void record_violation(const std::string& rule, const std::string& what);
     const std::map<std::string, std::uint64_t>& violations() const { return violations_; }
     std::size_t on_machines() const { return on_machine_.size(); }
     const std::unordered_map<std::string, JobTruth>& jobs() const { return jobs_; }
@@ -56,4 +56,4 @@
     std::map<std::string, std::uint64_t> violations_;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/query.cpp
+++ b/emulator/query.cpp
@@ -1,8 +1,8 @@
-#include "standin/query.h"
+#include "emulator/query.h"
 
 #include <charconv>
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 std::string parameter(const std::string& query, const std::string& name) {
     const auto at = ("&" + query).find("&" + name + "=");
@@ -18,4 +18,4 @@
     return out;
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/query.h
+++ b/emulator/query.h
@@ -4,10 +4,10 @@
 
 #include "base/time.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 // Empty if it is not there.
 std::string parameter(const std::string& query, const std::string& name);
 Millis number(const std::string& query, const std::string& name, Millis otherwise);
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/scale_run.cpp
+++ b/emulator/scale_run.cpp
@@ -1,4 +1,4 @@
-#include "standin/scale_run.h"
+#include "emulator/scale_run.h"
 
 #include <spdlog/fmt/fmt.h>
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 #include "net/address.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 using wire::Json;
 
@@ -126,7 +126,7 @@
 
 ScaleRun::~ScaleRun() = default;
 
-std::string ScaleRun::play() {
+std::string ScaleRun::run() {
     struct Listener {
         const char* what;
         int code;
@@ -182,13 +182,13 @@
     const Totals t = totals();
     for (std::size_t i = 0; i < samples_.size(); ++i)
         sample_process(samples_[i], controllers_.pid(i), passed_s);
-    sample_process(own_, getpid(), passed_s);
+    sample_process(own_usage_, getpid(), passed_s);
     if (!measuring_ && since_s >= options_.warmup_s) {
         measuring_ = true;
         measured_at_ = now();
         at_first_ = t;
         for (Sampled& s : samples_) s.first = s.last;
-        own_.first = own_.last;
+        own_usage_.first = own_usage_.last;
     } else if (measuring_) {
         auto rate = [&](std::uint64_t last, std::uint64_t before) {
             return static_cast<double>(last - before) / passed_s;
@@ -203,7 +203,7 @@
     const std::size_t ended = controllers_.ended_by_themselves();
     while (ended_ < ended) {
         ++ended_;
-        rules_.broken("ended", "a controller ended by itself");
+        rules_.record_violation("ended", "a controller ended by itself");
     }
     find_leader();
     const double failures = options_.failures_per_day / kSecondsPerDay * passed_s;
@@ -218,8 +218,8 @@
     if (asked == controllers_.size() || (asker_ && !asker_->idle())) return;
     const std::string to = controllers_.address(asked);
     asker_ = std::make_unique<net::HttpClient>(loop_, *net::parse_address(to), to, 1, 2);
-    asker_->request("GET", "/admin/status", "", kAskWait, [this](const net::Reply& r) {
-        const Json body = Json::parse(r.body, nullptr, false);
+    asker_->request("GET", "/admin/status", "", kAskWait, [this](const net::ClientReply& reply) {
+        const Json body = Json::parse(reply.body, nullptr, false);
         if (body.is_object()) leader_ = body.value("leader", leader_);
     });
 }
@@ -271,7 +271,7 @@
           {"starts_per_s_peak", most_starts_per_s_},
           {"jobs_open", users_.open()}}},
         {"controllers", controllers},
-        {"hollow_process", describe(own_, measured_s)},
+        {"hollow_process", describe(own_usage_, measured_s)},
         {"workers",
          {{"reports_per_s", per_s(at_last_.reports, at_first_.reports)},
           {"bytes_per_s_each", per_s(at_last_.worker_bytes, at_first_.worker_bytes) / workers},
@@ -312,4 +312,4 @@
         {"rules_broken", rules_.violations()}};
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/scale_run.h
+++ b/emulator/scale_run.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "standin/cloud.h"
-#include "standin/controllers.h"
-#include "standin/state_service.h"
-#include "standin/users.h"
-#include "standin/workers.h"
+#include "emulator/cloud_emulator.h"
+#include "emulator/controller_processes.h"
+#include "emulator/state_service_emulator.h"
+#include "emulator/user_emulator.h"
+#include "emulator/worker_emulator.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 struct ScaleOptions {
     std::string program = "nickelramp", directory, report;
@@ -37,7 +37,7 @@
     ScaleRun& operator=(const ScaleRun&) = delete;
 
     // Until its time is over or it is told to stop. Empty, or what kept it from starting.
-    std::string play();
+    std::string run();
     void stop() { over_ = true; }
     wire::Json result() const;
     bool rules_hold() const { return rules_.violations().empty(); }
@@ -65,12 +65,12 @@
 
     const ScaleOptions options_;
     uv_loop_t* loop_;
-    Rules rules_;
-    StateService state_;
-    Workers workers_;
-    Cloud cloud_;
-    Controllers controllers_;
-    Users users_;
+    ProtocolRules rules_;
+    StateServiceEmulator state_;
+    WorkerEmulator workers_;
+    CloudEmulator cloud_;
+    ControllerProcesses controllers_;
+    UserEmulator users_;
     net::Timer sample_timer_, crash_timer_, back_timer_;
     std::unique_ptr<net::HttpClient> asker_;
     bool over_ = false, measuring_ = false;
@@ -78,10 +78,10 @@
     std::string leader_;
     std::size_t crashed_ = SIZE_MAX, ended_ = 0;
     std::vector<Sampled> samples_;  // of the controllers
-    Sampled own_;
+    Sampled own_usage_;
     Totals at_first_, at_last_, at_sample_;
     double most_starts_per_s_ = 0, most_changes_per_s_ = 0;
     std::size_t most_running_ = 0, most_workers_ = 0;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/state_service.h
+++ b/emulator/state_service_emulator.h
@@ -15,7 +15,7 @@
 #include "net/timer.h"
 #include "wire/cbor.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 // Requests or changes a second, with bursts of one second's worth. 0: no limit.
 class RateLimit {
@@ -28,7 +28,7 @@
     Millis filled_at_ = 0;
 };
 
-class StateService {
+class StateServiceEmulator {
   public:
     struct Limits {
         double requests_per_s = 0, changes_per_s = 0;
@@ -40,8 +40,8 @@
         std::uint64_t bytes_in = 0, bytes_out = 0;
         std::map<std::string, std::uint64_t> changes_by_prefix;
     };
-    StateService(uv_loop_t* loop, Limits limits);
-    StateService(uv_loop_t* loop, int port);
+    StateServiceEmulator(uv_loop_t* loop, Limits limits);
+    StateServiceEmulator(uv_loop_t* loop, int port);
     // 0 or a libuv error.
     int listen(const std::string& address);
 
@@ -51,20 +51,20 @@
     std::size_t commits = 0;
     bool has(const std::string& key) const { return keys_.count(key) != 0; }
     wire::Json value(const std::string& key) const;
-    void end_hold(std::uint64_t id);
+    void expire_lease(std::uint64_t id);
     const Counters& counters() const { return counters_; }
     std::size_t keys() const { return keys_.size(); }
 
   private:
     struct Entry {
         wire::Json value;
-        std::uint64_t version = 0, hold = 0;
+        std::uint64_t version = 0, lease_id = 0;
     };
-    struct Hold {
-        Millis life = 0, end = 0;
+    struct Lease {
+        Millis duration = 0, expires_at = 0;
     };
     struct Change {
-        std::uint64_t epoch = 0;
+        std::uint64_t revision = 0;
         std::string key;
     };
     struct Watch {
@@ -79,12 +79,12 @@
     void reply(const net::Responder& responder, int status, const wire::Json& body);
     void open_watch(const net::Request& request, const net::Responder& responder);
     void commit(const wire::Json& body, const net::Responder& responder);
-    void holds(const net::Request& request, const net::Responder& responder);
+    void handle_leases(const net::Request& request, const net::Responder& responder);
     void list(const net::Request& request, const net::Responder& responder);
     void changed(const std::string& key);
     void answer_watches();
     bool answer_watch(const Watch& watch, bool over);
-    void tend();
+    void run_due_work();
     wire::Json item(const std::string& key) const;
 
     uv_loop_t* loop_;
@@ -93,10 +93,10 @@
     RateLimit requests_, changes_;
     std::map<std::string, Entry> keys_;
     std::deque<Change> log_;
-    std::map<std::uint64_t, Hold> holds_;
-    std::uint64_t epoch_ = 1, next_hold_ = 1, forgotten_ = 0;
+    std::map<std::uint64_t, Lease> leases_;
+    std::uint64_t revision_ = 1, next_lease_id_ = 1, oldest_retained_revision_ = 0;
     std::vector<Watch> watches_;
     Counters counters_;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/users.cpp
+++ b/emulator/user_emulator.cpp
@@ -1,11 +1,11 @@
-#include "standin/users.h"
+#include "emulator/user_emulator.h"
 
 #include <cstdio>
 
+#include "emulator/worker_messages.h"
 #include "net/address.h"
-#include "standin/worker_messages.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 using wire::JobStatus;
 using wire::Json;
@@ -19,8 +19,8 @@
 constexpr const char* kSetting = "keep_margin";
 }  // namespace
 
-Users::Users(uv_loop_t* loop, Load load, const std::vector<std::string>& controllers, Rules& rules,
-             std::uint64_t seed)
+UserEmulator::UserEmulator(uv_loop_t* loop, Load load, const std::vector<std::string>& controllers,
+                           ProtocolRules& rules, std::uint64_t seed)
     : loop_(loop), load_(load), rules_(rules), random_(seed), tick_timer_(loop, [this] {
           tick();
       }) {
@@ -30,15 +30,15 @@
     }
 }
 
-void Users::begin() {
+void UserEmulator::begin() {
     began_ = ticked_at_ = now();
     const std::size_t arrays = load_.initial_tasks / std::max(1u, load_.array_tasks);
     for (std::size_t i = 0; i < arrays; ++i) {
-        later(static_cast<Millis>(random_() % kInitialWithin),
-              [this] { submit_array(load_.array_tasks); });
+        run_later(static_cast<Millis>(random_() % kInitialWithin),
+                  [this] { submit_array(load_.array_tasks); });
     }
     for (std::size_t i = 0; i < static_cast<std::size_t>(load_.services); ++i) {
-        later(static_cast<Millis>(random_() % kInitialWithin), [this] {
+        run_later(static_cast<Millis>(random_() % kInitialWithin), [this] {
             wire::JobSpec s;
             s.shape = wire::Shape::service;
             s.priority = wire::Priority::production;
@@ -50,16 +50,16 @@
     tick_timer_.every(kTick);
 }
 
-void Users::later(Millis wait, std::function<void()> act) {
+void UserEmulator::run_later(Millis wait, std::function<void()> act) {
     due_.emplace(now() + wait, std::move(act));
 }
 
-bool Users::arrives(double per_s, Millis since) {
+bool UserEmulator::arrives(double per_s, Millis since) {
     const double expected = per_s * static_cast<double>(since) / kMillisPerSecond;
     return std::uniform_real_distribution<double>(0, 1)(random_) < expected;
 }
 
-void Users::tick() {
+void UserEmulator::tick() {
     const Millis since = now() - std::exchange(ticked_at_, now());
     while (!due_.empty() && due_.begin()->first <= now()) {
         const auto act = due_.begin()->second;
@@ -86,7 +86,7 @@
     }
 }
 
-void Users::submit_array(std::uint32_t tasks) {
+void UserEmulator::submit_array(std::uint32_t tasks) {
     wire::JobSpec s;
     s.shape = wire::Shape::array;
     s.priority = wire::Priority::normal;
@@ -95,7 +95,7 @@
     submit(std::move(s));
 }
 
-void Users::submit(wire::JobSpec s) {
+void UserEmulator::submit(wire::JobSpec s) {
     char id[32];
     std::snprintf(id, sizeof id, "job-%06zu", ++last_job_);
     constexpr const char* kClasses[] = {"array", "gang", "service"};
@@ -117,103 +117,107 @@
     send(id, now());
 }
 
-void Users::ask(const char* method, const std::string& path, std::string body, Done done) {
+void UserEmulator::request(const char* method, const std::string& path, std::string body,
+                           Done done) {
     clients_[random_() % clients_.size()]->request(
         method, path, std::move(body), method == std::string("GET") ? kPollWait : kSubmitWait,
         std::move(done));
 }
 
-void Users::send(const std::string& id, Millis first) {
-    ask("POST", "/work", wire::encode(job_body(rules_.find(id)->spec)),
-        [this, id, first](const net::Reply& r) {
-            if (r.outcome != net::Reply::Outcome::answered ||
-                (r.status != 200 && r.status != 201)) {
-                ++counters_.retried;
-                if (r.status == 400 || r.status == 422) rules_.broken("refused", id);
-                return later(kRetry, [this, id, first] { send(id, first); });
-            }
-            ++counters_.accepted;
-            JobTruth& job = *rules_.find(id);
-            job.accepted_at = now();
-            submit_ms_.add(static_cast<double>(now() - first));
-            const bool cancels =
-                job.spec.shape == wire::Shape::array &&
-                std::uniform_real_distribution<double>(0, 1)(random_) < load_.cancelled;
-            if (cancels) later(seconds(job.run_s / 2), [this, id] { cancel(id); });
-            later(static_cast<Millis>(random_() % kPollEvery), [this, id] { poll(id); });
-        });
+void UserEmulator::send(const std::string& id, Millis first) {
+    request("POST", "/work", wire::encode(job_body(rules_.find(id)->spec)),
+            [this, id, first](const net::ClientReply& reply) {
+                if (reply.outcome != net::ClientReply::Outcome::answered ||
+                    (reply.status != 200 && reply.status != 201)) {
+                    ++counters_.retried;
+                    if (reply.status == 400 || reply.status == 422)
+                        rules_.record_violation("refused", id);
+                    return run_later(kRetry, [this, id, first] { send(id, first); });
+                }
+                ++counters_.accepted;
+                JobTruth& job = *rules_.find(id);
+                job.accepted_at = now();
+                submit_ms_.add(static_cast<double>(now() - first));
+                const bool cancels =
+                    job.spec.shape == wire::Shape::array &&
+                    std::uniform_real_distribution<double>(0, 1)(random_) < load_.cancelled;
+                if (cancels) run_later(seconds(job.run_s / 2), [this, id] { cancel(id); });
+                run_later(static_cast<Millis>(random_() % kPollEvery), [this, id] { poll(id); });
+            });
 }
 
-void Users::poll(const std::string& id) {
+void UserEmulator::poll(const std::string& id) {
     ++counters_.polls;
-    ask("GET", "/work/" + id, "", [this, id](const net::Reply& r) { on_poll(id, r); });
+    request("GET", "/work/" + id, "",
+            [this, id](const net::ClientReply& reply) { on_poll(id, reply); });
 }
 
-void Users::on_poll(const std::string& id, const net::Reply& r) {
+void UserEmulator::on_poll(const std::string& id, const net::ClientReply& reply) {
     JobTruth& job = *rules_.find(id);
     if (job.first_start_at != 0 && started_.insert(id).second) {
         start_ms_[static_cast<std::size_t>(job.spec.shape)].add(
             static_cast<double>(job.first_start_at - job.submitted_at));
     }
-    const bool known = r.outcome == net::Reply::Outcome::answered && r.status == 200;
-    if (r.outcome == net::Reply::Outcome::answered && r.status == 404)
-        rules_.told(job, false, JobStatus::pending, now());
+    const bool known = reply.outcome == net::ClientReply::Outcome::answered && reply.status == 200;
+    if (reply.outcome == net::ClientReply::Outcome::answered && reply.status == 404)
+        rules_.user_told(job, false, JobStatus::pending, now());
     else if (!known)
         ++counters_.failed_polls;
     if (known) {
-        const auto body = wire::decode_map(r.body);
-        const std::string status = body ? wire::text(*body, "status").value_or("") : "";
+        const auto body = wire::decode_map(reply.body);
+        const std::string status = body ? wire::text_field(*body, "status").value_or("") : "";
         const JobStatus told = status == "done"        ? JobStatus::done
                                : status == "withdrawn" ? JobStatus::cancelled
                                : status == "running"   ? JobStatus::running
                                                        : JobStatus::pending;
-        rules_.told(job, true, told, now());
+        rules_.user_told(job, true, told, now());
         if (told == JobStatus::done || told == JobStatus::cancelled) {
             --open_;
             return;
         }
     }
-    later(kPollEvery, [this, id] { poll(id); });
+    run_later(kPollEvery, [this, id] { poll(id); });
 }
 
-void Users::cancel(const std::string& id) {
+void UserEmulator::cancel(const std::string& id) {
     ++counters_.cancelled;
-    ask("POST", "/work/" + id + "/abort", "", [this, id](const net::Reply& r) {
-        if (r.outcome != net::Reply::Outcome::answered || r.status != 200)
-            later(kRetry, [this, id] { cancel(id); });
+    request("POST", "/work/" + id + "/abort", "", [this, id](const net::ClientReply& reply) {
+        if (reply.outcome != net::ClientReply::Outcome::answered || reply.status != 200)
+            run_later(kRetry, [this, id] { cancel(id); });
     });
 }
 
 // --- settings
 
-void Users::change_setting() {
+void UserEmulator::change_setting() {
     setting_ = kSettingLeast + std::fmod(setting_, kSettingSteps) + 1;
     ++counters_.settings_changed;
     const double value = setting_;
     const Json body = {{"value", value}};
     clients_[random_() % clients_.size()]->request(
         "PUT", std::string("/admin/settings/") + kSetting, body.dump(), kSubmitWait,
-        [this, value, since = now()](const net::Reply& r) {
-            if (r.outcome != net::Reply::Outcome::answered || r.status != 200) return;
+        [this, value, since = now()](const net::ClientReply& reply) {
+            if (reply.outcome != net::ClientReply::Outcome::answered || reply.status != 200) return;
             for (std::size_t i = 0; i < clients_.size(); ++i) await_setting(value, i, since);
         });
 }
 
 // A later change may have taken its place by then.
-void Users::await_setting(double value, std::size_t controller, Millis since) {
+void UserEmulator::await_setting(double value, std::size_t controller, Millis since) {
     clients_[controller]->request(
         "GET", "/admin/settings", "", kPollWait,
-        [this, value, controller, since](const net::Reply& r) {
-            const Json body = Json::parse(r.body, nullptr, false);
+        [this, value, controller, since](const net::ClientReply& reply) {
+            const Json body = Json::parse(reply.body, nullptr, false);
             const Json* now_set = body.is_object() ? wire::field(body, kSetting) : nullptr;
             const bool there = now_set != nullptr && now_set->is_number() && *now_set == value;
             if (there || value != setting_) {
                 if (there) settings_ms_.add(static_cast<double>(now() - since));
                 return;
             }
-            later(kLookEvery,
-                  [this, value, controller, since] { await_setting(value, controller, since); });
+            run_later(kLookEvery, [this, value, controller, since] {
+                await_setting(value, controller, since);
+            });
         });
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/users.h
+++ b/emulator/user_emulator.h
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
+#include "emulator/histogram.h"
+#include "emulator/protocol_rules.h"
 #include "net/http_client.h"
 #include "net/timer.h"
-#include "standin/histogram.h"
-#include "standin/rules.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 struct Load {
     std::size_t initial_tasks = 0;    // of arrays, submitted within the first seconds
@@ -31,14 +31,14 @@
     std::size_t teams = 1;
 };
 
-class Users {
+class UserEmulator {
   public:
     struct Counters {
         std::uint64_t submitted = 0, accepted = 0, retried = 0, polls = 0, failed_polls = 0,
                       cancelled = 0, settings_changed = 0;
     };
-    Users(uv_loop_t* loop, Load load, const std::vector<std::string>& controllers, Rules& rules,
-          std::uint64_t seed);
+    UserEmulator(uv_loop_t* loop, Load load, const std::vector<std::string>& controllers,
+                 ProtocolRules& rules, std::uint64_t seed);
     void begin();
     // No more jobs arrive.
     void stop() { arriving_ = false; }
@@ -53,7 +53,7 @@
     std::size_t open() const { return open_; }
 
   private:
-    using Done = std::function<void(const net::Reply&)>;
+    using Done = std::function<void(const net::ClientReply&)>;
     Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
     void tick();
     bool arrives(double per_s, Millis since);
@@ -61,16 +61,16 @@
     void submit(wire::JobSpec spec);
     void send(const std::string& id, Millis first);
     void poll(const std::string& id);
-    void on_poll(const std::string& id, const net::Reply& reply);
+    void on_poll(const std::string& id, const net::ClientReply& reply);
     void cancel(const std::string& id);
     void change_setting();
     void await_setting(double value, std::size_t controller, Millis since);
-    void ask(const char* method, const std::string& path, std::string body, Done done);
-    void later(Millis wait, std::function<void()> act);
+    void request(const char* method, const std::string& path, std::string body, Done done);
+    void run_later(Millis wait, std::function<void()> act);
 
     uv_loop_t* loop_;
     const Load load_;
-    Rules& rules_;
+    ProtocolRules& rules_;
     std::mt19937_64 random_;
     net::Timer tick_timer_;
     std::vector<std::unique_ptr<net::HttpClient>> clients_;
@@ -84,4 +84,4 @@
     std::set<std::string> started_;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/workers.cpp
+++ b/emulator/worker_emulator.cpp
@@ -1,4 +1,4 @@
-#include "standin/workers.h"
+#include "emulator/worker_emulator.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -6,7 +6,7 @@
 
 #include "net/address.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 using wire::Command;
 using wire::ExitCause;
@@ -20,7 +20,8 @@
 constexpr double kMillisPerSecond = 1'000;
 }  // namespace
 
-Workers::Workers(uv_loop_t* loop, WorkerSettings settings, Rules& rules, std::uint64_t seed)
+WorkerEmulator::WorkerEmulator(uv_loop_t* loop, WorkerSettings settings, ProtocolRules& rules,
+                               std::uint64_t seed)
     : loop_(loop),
       settings_(std::move(settings)),
       rules_(rules),
@@ -28,26 +29,26 @@
       server_(loop, kMostConnections,
               [this](const net::Request& q, const net::Responder& r) { on_direct(q, r); }),
       due_timer_(loop, [this] { run_due(); }) {
-    server_.tell_local_ip();
+    server_.report_local_ip();
     due_timer_.every(kDueEvery);
 }
 
-int Workers::listen() {
+int WorkerEmulator::listen() {
     return server_.listen(*net::parse_address("0.0.0.0:" + std::to_string(settings_.port)));
 }
 
-std::string Workers::address(std::size_t number) const {
+std::string WorkerEmulator::address(std::size_t number) const {
     constexpr std::size_t kPerByte = 250;
     const std::size_t high = 1 + number / (kPerByte * kPerByte);
     const std::size_t middle = number / kPerByte % kPerByte, low = 1 + number % kPerByte;
     return fmt::format("127.{}.{}.{}:{}", high, middle, low, settings_.port);
 }
 
-void Workers::at(Millis when, std::function<void()> act) {
+void WorkerEmulator::at(Millis when, std::function<void()> act) {
     due_.push({when, ++order_, std::move(act)});
 }
 
-void Workers::run_due() {
+void WorkerEmulator::run_due() {
     while (!due_.empty() && due_.top().at <= now()) {
         const auto act = due_.top().act;
         due_.pop();
@@ -55,25 +56,25 @@
     }
 }
 
-Workers::Worker* Workers::worker(const std::string& name) {
+WorkerEmulator::Worker* WorkerEmulator::worker(const std::string& name) {
     auto it = workers_.find(name);
     return it == workers_.end() ? nullptr : &it->second;
 }
 
-void Workers::later(const Worker& w, Millis wait, std::function<void(Worker&)> act) {
+void WorkerEmulator::later(const Worker& w, Millis wait, std::function<void(Worker&)> act) {
     at(now() + wait, [this, name = w.name, life = w.life, act = std::move(act)] {
         Worker* same = worker(name);
         if (same != nullptr && same->life == life) act(*same);
     });
 }
 
-Millis Workers::jitter(double mean_s) {
+Millis WorkerEmulator::jitter(double mean_s) {
     std::uniform_real_distribution<double> spread(1 - kReportSpread, 1 + kReportSpread);
     return static_cast<Millis>(mean_s * spread(random_) * kMillisPerSecond);
 }
 
-void Workers::boot(std::size_t number, const std::string& name, const std::string& type,
-                   const std::string& zone, bool spot) {
+void WorkerEmulator::boot(std::size_t number, const std::string& name, const std::string& type,
+                          const std::string& zone, bool spot) {
     Worker& w = workers_[name];
     w.number = number;
     w.life = ++lives_;
@@ -89,7 +90,7 @@
     report(w);
 }
 
-void Workers::remove(const std::string& name) {
+void WorkerEmulator::remove(const std::string& name) {
     Worker* w = worker(name);
     if (w == nullptr) return;
     while (!w->tasks.empty()) {
@@ -102,7 +103,7 @@
     workers_.erase(name);
 }
 
-std::map<std::string, std::size_t> Workers::by_controller() const {
+std::map<std::string, std::size_t> WorkerEmulator::by_controller() const {
     std::map<std::string, std::size_t> out;
     for (const auto& [name, w] : workers_) ++out[settings_.controllers[w.target]];
     return out;
@@ -110,23 +111,23 @@
 
 // --- reports
 
-wire::Report Workers::describe(Worker& w) {
-    wire::Report r;
-    r.machine = w.name;
-    r.address = address(w.number);
-    r.type = w.type;
-    r.zone = w.zone;
-    r.spot = w.spot;
-    r.session = w.session;
-    r.seq = ++w.seq;
-    r.token = w.token;
-    r.tasks.reserve(w.tasks.size());
+wire::Heartbeat WorkerEmulator::describe(Worker& w) {
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = w.name;
+    heartbeat.address = address(w.number);
+    heartbeat.type = w.type;
+    heartbeat.zone = w.zone;
+    heartbeat.spot = w.spot;
+    heartbeat.incarnation = w.session;
+    heartbeat.sequence = ++w.seq;
+    heartbeat.token = w.token;
+    heartbeat.tasks.reserve(w.tasks.size());
     for (const auto& [id, t] : w.tasks)
-        r.tasks.push_back({id.first, id.second, t.attempt, t.phase, t.cause, t.saved});
-    return r;
+        heartbeat.tasks.push_back({id.first, id.second, t.attempt, t.phase, t.cause, t.saved});
+    return heartbeat;
 }
 
-void Workers::report(Worker& w) {
+void WorkerEmulator::report(Worker& w) {
     if (w.in_flight) return;
     if (!w.client) {
         const std::string& to = settings_.addresses[w.target];
@@ -136,11 +137,11 @@
     w.changed = false;
     w.reported_at = now();
     ++counters_.reports;
-    std::string body = encode_report(describe(w));
+    std::string body = encode_heartbeat(describe(w));
     counters_.bytes_sent += body.size();
     w.client->request("POST", "/checkin", std::move(body), kWaits,
                       [this, name = w.name, life = w.life, session = w.session,
-                       sent = now()](const net::Reply& reply) {
+                       sent = now()](const net::ClientReply& reply) {
                           Worker* same = worker(name);
                           if (same == nullptr || same->life != life) return;
                           same->in_flight = false;
@@ -148,16 +149,17 @@
                       });
 }
 
-void Workers::on_answer(Worker& w, const net::Reply& reply, std::uint64_t session, Millis sent) {
+void WorkerEmulator::on_answer(Worker& w, const net::ClientReply& reply, std::uint64_t session,
+                               Millis sent) {
     counters_.bytes_received += reply.body.size();
-    if (reply.outcome != net::Reply::Outcome::answered) {
+    if (reply.outcome != net::ClientReply::Outcome::answered) {
         ++counters_.unanswered;
         return move_on(w);
     }
     if (reply.status == 421) {
         ++counters_.redirected;
         const auto body = wire::decode_map(reply.body);
-        const std::string boss = body ? wire::text(*body, "boss").value_or("") : "";
+        const std::string boss = body ? wire::text_field(*body, "boss").value_or("") : "";
         const auto& names = settings_.controllers;
         const auto named = std::find(names.begin(), names.end(), boss);
         if (named == names.end() || named == names.begin() + static_cast<long>(w.target))
@@ -175,7 +177,7 @@
     }
     ++counters_.answered;
     report_ms_.add(static_cast<double>(now() - sent));
-    const auto orders = read_orders(reply.body);
+    const auto orders = decode_commands(reply.body);
     if (!orders || orders->token < w.token) {
         ++counters_.dropped_tokens;
     } else if (session == w.session) {
@@ -191,7 +193,7 @@
     schedule_report(w);
 }
 
-void Workers::move_on(Worker& w) {
+void WorkerEmulator::move_on(Worker& w) {
     w.target = (w.target + 1) % settings_.controllers.size();
     later(w, kNextAfter, [this](Worker& same) {
         same.client.reset();
@@ -200,14 +202,14 @@
 }
 
 // The next in time; sooner when something changes.
-void Workers::schedule_report(Worker& w) {
+void WorkerEmulator::schedule_report(Worker& w) {
     later(w, jitter(settings_.report_s), [this, was = w.reported_at](Worker& same) {
         if (same.reported_at == was) report(same);
     });
     if (w.changed) report_soon(w);
 }
 
-void Workers::report_soon(Worker& w) {
+void WorkerEmulator::report_soon(Worker& w) {
     w.changed = true;
     if (w.in_flight || w.again_soon) return;
     w.again_soon = true;
@@ -218,14 +220,14 @@
     });
 }
 
-void Workers::check_lease(Worker& w) {
+void WorkerEmulator::check_lease(Worker& w) {
     const Millis end = w.lease_from + static_cast<Millis>(settings_.lease_s * kMillisPerSecond);
     if (now() > end) lose_lease(w);
     later(w, std::max<Millis>(kLeastGap, end - now() + 1),
           [this](Worker& same) { check_lease(same); });
 }
 
-void Workers::lose_lease(Worker& w) {
+void WorkerEmulator::lose_lease(Worker& w) {
     ++counters_.leases_lost;
     ++w.session;
     w.lease_from = now();
@@ -239,13 +241,13 @@
 
 // --- commands
 
-void Workers::on_direct(const net::Request& q, const net::Responder& r) {
+void WorkerEmulator::on_direct(const net::Request& q, const net::Responder& r) {
     auto known = by_ip_.find(q.local_ip);
     Worker* w = known == by_ip_.end() ? nullptr : worker(known->second);
     if (w == nullptr) return r.send({404, "", 0, "application/cbor"});
     ++counters_.direct;
     counters_.bytes_received += q.body.size();
-    const auto orders = read_orders(q.body);
+    const auto orders = decode_commands(q.body);
     int status = 200;
     if (q.path != "/status") {
         if (!orders || !orders->session) return r.send({400, "", 0, "application/cbor"});
@@ -259,55 +261,58 @@
         }
         obey(*w, orders->commands);
     }
-    std::string body = encode_report(describe(*w));
+    std::string body = encode_heartbeat(describe(*w));
     counters_.bytes_sent += body.size();
     r.send({status, std::move(body), 0, "application/cbor"});
 }
 
-void Workers::obey(Worker& w, const std::vector<Command>& commands) {
-    for (const Command& c : commands) {
-        if (c.op == Command::Op::start) start(w, c);
-        if (c.op == Command::Op::stop) stop(w, c);
-        if (c.op == Command::Op::forget) {
-            Task* t = find(w, {c.job, c.task}, c.attempt);
-            if (t != nullptr && t->phase == TaskPhase::exited) w.tasks.erase({c.job, c.task});
+void WorkerEmulator::obey(Worker& w, const std::vector<Command>& commands) {
+    for (const Command& command : commands) {
+        if (command.op == Command::Op::start) start(w, command);
+        if (command.op == Command::Op::stop) stop(w, command);
+        if (command.op == Command::Op::forget) {
+            Task* t = find(w, {command.job, command.task}, command.attempt);
+            if (t != nullptr && t->phase == TaskPhase::exited)
+                w.tasks.erase({command.job, command.task});
         }
     }
 }
 
-Workers::Task* Workers::find(Worker& w, const TaskId& id, std::uint32_t attempt) {
+WorkerEmulator::Task* WorkerEmulator::find(Worker& w, const TaskId& id, std::uint32_t attempt) {
     auto it = w.tasks.find(id);
     return it == w.tasks.end() || it->second.attempt != attempt ? nullptr : &it->second;
 }
 
-void Workers::start(Worker& w, const Command& c) {
-    const TaskId id{c.job, c.task};
+void WorkerEmulator::start(Worker& w, const Command& command) {
+    const TaskId id{command.job, command.task};
     auto there = w.tasks.find(id);
     if (there != w.tasks.end()) {
         const bool ended = there->second.phase == TaskPhase::exited;
-        if (there->second.attempt == c.attempt || !ended) return;
+        if (there->second.attempt == command.attempt || !ended) return;
     }
-    JobTruth* job = rules_.find(c.job);
+    JobTruth* job = rules_.find(command.job);
     Task& t = w.tasks[id] = {};
-    t.attempt = c.attempt;
-    if (job == nullptr || c.task >= job->spec.tasks) {
+    t.attempt = command.attempt;
+    if (job == nullptr || command.task >= job->spec.tasks) {
         exit_task(w, id, ExitCause::unknown, false);
         return;
     }
     ++counters_.starts;
-    if (job->spec.shape == wire::Shape::gang) gangs_[{c.job, c.attempt}].members[c.task] = w.name;
+    if (job->spec.shape == wire::Shape::gang)
+        gangs_[{command.job, command.attempt}].members[command.task] = w.name;
     const bool cached = w.images.count(job->spec.image) != 0;
     const Millis fetch = cached ? 0 : jitter(job->spec.image_gb / settings_.fetch_gb_per_s);
-    later(w, fetch, [this, id, attempt = c.attempt](Worker& same) { fetched(same, id, attempt); });
+    later(w, fetch,
+          [this, id, attempt = command.attempt](Worker& same) { fetched(same, id, attempt); });
     report_soon(w);
 }
 
-void Workers::fetched(Worker& w, const TaskId& id, std::uint32_t attempt) {
+void WorkerEmulator::fetched(Worker& w, const TaskId& id, std::uint32_t attempt) {
     Task* t = find(w, id, attempt);
     if (t == nullptr || t->phase != TaskPhase::fetching) return;
     JobTruth& job = *rules_.find(id.first);
     w.images.insert(job.spec.image);
-    rules_.came(w.name, job, id.second, now());
+    rules_.task_arrived(w.name, job, id.second, now());
     ++running_;
     t->phase = TaskPhase::running;
     if (job.task_done[id.second]) return exit_task(w, id, ExitCause::done, false);
@@ -315,7 +320,7 @@
     run(w, id, attempt);
 }
 
-void Workers::run(Worker& w, const TaskId& id, std::uint32_t attempt) {
+void WorkerEmulator::run(Worker& w, const TaskId& id, std::uint32_t attempt) {
     Task* t = find(w, id, attempt);
     if (t == nullptr) return;
     t->phase = TaskPhase::running;
@@ -328,23 +333,23 @@
     report_soon(w);
 }
 
-void Workers::complete(Worker& w, const TaskId& id, std::uint32_t attempt) {
+void WorkerEmulator::complete(Worker& w, const TaskId& id, std::uint32_t attempt) {
     Task* t = find(w, id, attempt);
     if (t == nullptr || t->phase != TaskPhase::running) return;
-    rules_.completed(*rules_.find(id.first), id.second, now());
+    rules_.task_completed(*rules_.find(id.first), id.second, now());
     exit_task(w, id, ExitCause::done, false);
 }
 
-void Workers::stop(Worker& w, const Command& c) {
-    const TaskId id{c.job, c.task};
-    Task* t = find(w, id, c.attempt);
+void WorkerEmulator::stop(Worker& w, const Command& command) {
+    const TaskId id{command.job, command.task};
+    Task* t = find(w, id, command.attempt);
     if (t == nullptr || t->phase == TaskPhase::exited) return;
-    const JobTruth* job = rules_.find(c.job);
+    const JobTruth* job = rules_.find(command.job);
     const bool saves = t->phase == TaskPhase::running && job != nullptr &&
-                       job->spec.checkpoint_s > 0 && c.grace_s >= job->spec.save_s;
+                       job->spec.checkpoint_s > 0 && command.grace_s >= job->spec.save_s;
     if (!saves) return exit_task(w, id, ExitCause::stopped, false);
     t->phase = TaskPhase::saving;
-    later(w, seconds(job->spec.save_s), [this, id, attempt = c.attempt](Worker& same) {
+    later(w, seconds(job->spec.save_s), [this, id, attempt = command.attempt](Worker& same) {
         Task* task = find(same, id, attempt);
         if (task != nullptr && task->phase == TaskPhase::saving)
             exit_task(same, id, ExitCause::stopped, true);
@@ -352,7 +357,7 @@
     report_soon(w);
 }
 
-void Workers::exit_task(Worker& w, const TaskId& id, ExitCause cause, bool saved) {
+void WorkerEmulator::exit_task(Worker& w, const TaskId& id, ExitCause cause, bool saved) {
     Task& t = w.tasks[id];
     const Task before = t;
     t.phase = TaskPhase::exited;
@@ -364,12 +369,12 @@
 }
 
 // It is on its machine no more.
-void Workers::leave(const TaskId& id, const Task& task) {
+void WorkerEmulator::leave(const TaskId& id, const Task& task) {
     const bool was_on = task.phase != TaskPhase::fetching && task.phase != TaskPhase::exited;
     JobTruth* job = rules_.find(id.first);
     if (job == nullptr) return;
     if (was_on) {
-        rules_.went(*job, id.second);
+        rules_.task_left(*job, id.second);
         --running_;
     }
     if (job->spec.shape != wire::Shape::gang || task.phase == TaskPhase::exited) return;
@@ -384,7 +389,7 @@
     }
 }
 
-void Workers::gang_ready(Worker& w, const TaskId& id, std::uint32_t attempt) {
+void WorkerEmulator::gang_ready(Worker& w, const TaskId& id, std::uint32_t attempt) {
     find(w, id, attempt)->phase = TaskPhase::waiting;
     Gang& gang = gangs_[{id.first, attempt}];
     ++gang.ready;
@@ -404,7 +409,7 @@
     }
 }
 
-void Workers::gang_lost(const TaskId& id, std::uint32_t attempt, ExitCause cause) {
+void WorkerEmulator::gang_lost(const TaskId& id, std::uint32_t attempt, ExitCause cause) {
     auto gang = gangs_.find({id.first, attempt});
     if (gang == gangs_.end()) return;
     const auto members = gang->second.members;
@@ -417,4 +422,4 @@
     }
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/workers.h
+++ b/emulator/worker_emulator.h
@@ -14,14 +14,14 @@
 #include <unordered_map>
 #include <vector>
 
+#include "emulator/histogram.h"
+#include "emulator/protocol_rules.h"
+#include "emulator/worker_messages.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/timer.h"
-#include "standin/histogram.h"
-#include "standin/rules.h"
-#include "standin/worker_messages.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 struct WorkerSettings {
     double report_s = 8, lease_s = 45, gang_wait_s = 30, gang_peer_s = 4;
@@ -31,7 +31,7 @@
     std::vector<std::string> addresses;    // likewise
 };
 
-class Workers {
+class WorkerEmulator {
   public:
     struct Counters {
         std::uint64_t reports = 0, answered = 0, redirected = 0, refused = 0, unanswered = 0;
@@ -39,7 +39,8 @@
         std::uint64_t direct = 0, direct_conflicts = 0, starts = 0, exits = 0;
         std::uint64_t bytes_sent = 0, bytes_received = 0;  // bodies
     };
-    Workers(uv_loop_t* loop, WorkerSettings settings, Rules& rules, std::uint64_t seed);
+    WorkerEmulator(uv_loop_t* loop, WorkerSettings settings, ProtocolRules& rules,
+                   std::uint64_t seed);
 
     // 0 or a libuv error.
     int listen();
@@ -97,18 +98,18 @@
     void later(const Worker& w, Millis wait, std::function<void(Worker&)> act);
 
     void report(Worker& w);
-    void on_answer(Worker& w, const net::Reply& reply, std::uint64_t session, Millis sent);
+    void on_answer(Worker& w, const net::ClientReply& reply, std::uint64_t session, Millis sent);
     void schedule_report(Worker& w);
     void move_on(Worker& w);
     void report_soon(Worker& w);
     void check_lease(Worker& w);
     void lose_lease(Worker& w);
-    wire::Report describe(Worker& w);
+    wire::Heartbeat describe(Worker& w);
 
     void on_direct(const net::Request& request, const net::Responder& responder);
     void obey(Worker& w, const std::vector<wire::Command>& commands);
-    void start(Worker& w, const wire::Command& c);
-    void stop(Worker& w, const wire::Command& c);
+    void start(Worker& w, const wire::Command& command);
+    void stop(Worker& w, const wire::Command& command);
     void fetched(Worker& w, const TaskId& id, std::uint32_t attempt);
     void run(Worker& w, const TaskId& id, std::uint32_t attempt);
     void complete(Worker& w, const TaskId& id, std::uint32_t attempt);
@@ -122,7 +123,7 @@
 
     uv_loop_t* loop_;
     const WorkerSettings settings_;
-    Rules& rules_;
+    ProtocolRules& rules_;
     std::mt19937_64 random_;
     net::HttpServer server_;
     net::Timer due_timer_;
@@ -136,4 +137,4 @@
     Histogram report_ms_;
 };
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/worker_messages.cpp
+++ b/emulator/worker_messages.cpp
@@ -1,8 +1,8 @@
-#include "standin/worker_messages.h"
+#include "emulator/worker_messages.h"
 
 #include <charconv>
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
 using wire::Command;
 using wire::Json;
@@ -13,52 +13,53 @@
 constexpr const char* kPriorities[] = {"best_effort", "normal", "urgent", "prod"};
 
 std::optional<Command> read_command(const Json& order) {
-    const std::string verb = wire::text(order, "verb").value_or("");
-    const std::string leg = wire::text(order, "leg").value_or("");
-    const auto attempt = wire::count(order, "try");
+    const std::string verb = wire::text_field(order, "verb").value_or("");
+    const std::string leg = wire::text_field(order, "leg").value_or("");
+    const auto attempt = wire::count_field(order, "try");
     const auto slash = leg.rfind('/');
     if (slash == std::string::npos || !attempt) return std::nullopt;
-    Command c;
+    Command command;
     if (verb == "start")
-        c.op = Command::Op::start;
+        command.op = Command::Op::start;
     else if (verb == "stop")
-        c.op = Command::Op::stop;
+        command.op = Command::Op::stop;
     else if (verb == "forget")
-        c.op = Command::Op::forget;
+        command.op = Command::Op::forget;
     else
         return std::nullopt;
-    c.job = leg.substr(0, slash);
-    std::from_chars(leg.data() + slash + 1, leg.data() + leg.size(), c.task);
-    c.attempt = static_cast<std::uint32_t>(*attempt);
-    c.grace_s = wire::amount(order, "wind_down_s").value_or(0);
-    return c;
+    command.job = leg.substr(0, slash);
+    std::from_chars(leg.data() + slash + 1, leg.data() + leg.size(), command.task);
+    command.attempt = static_cast<std::uint32_t>(*attempt);
+    command.grace_s = wire::amount_field(order, "wind_down_s").value_or(0);
+    return command;
 }
 }  // namespace
 
-std::string encode_report(const wire::Report& r) {
+std::string encode_heartbeat(const wire::Heartbeat& heartbeat) {
     Json legs = Json::array();
-    for (const wire::TaskReport& t : r.tasks) {
-        Json leg = {{"leg", t.job + "/" + std::to_string(t.task)},
-                    {"try", t.attempt},
-                    {"status", kPhases[static_cast<std::size_t>(t.phase)]}};
-        if (t.phase == wire::TaskPhase::exited) leg["cause"] = wire::name(t.cause);
-        if (t.saved) leg["kept"] = true;
+    for (const wire::TaskReport& task : heartbeat.tasks) {
+        Json leg = {{"leg", task.job + "/" + std::to_string(task.task)},
+                    {"try", task.attempt},
+                    {"status", kPhases[static_cast<std::size_t>(task.phase)]}};
+        if (task.phase == wire::TaskPhase::exited) leg["cause"] = wire::name(task.cause);
+        if (task.saved) leg["kept"] = true;
         legs.push_back(std::move(leg));
     }
-    Json body = {{"host", r.machine},      {"address", r.address}, {"rig", r.type},
-                 {"yard", r.zone},         {"standby", r.spot},    {"shift", r.session},
-                 {"tick", r.seq},          {"baton", r.token},     {"warning_s", nullptr},
-                 {"legs", std::move(legs)}};
+    Json body = {{"host", heartbeat.machine},  {"address", heartbeat.address},
+                 {"rig", heartbeat.type},      {"yard", heartbeat.zone},
+                 {"standby", heartbeat.spot},  {"shift", heartbeat.incarnation},
+                 {"tick", heartbeat.sequence}, {"baton", heartbeat.token},
+                 {"warning_s", nullptr},       {"legs", std::move(legs)}};
     return wire::encode(body);
 }
 
-std::optional<Orders> read_orders(const std::string& bytes) {
+std::optional<WorkerCommands> decode_commands(const std::string& bytes) {
     const auto body = wire::decode_map(bytes);
-    const auto token = body ? wire::count(*body, "baton") : std::nullopt;
+    const auto token = body ? wire::count_field(*body, "baton") : std::nullopt;
     if (!token) return std::nullopt;
-    Orders out;
+    WorkerCommands out;
     out.token = *token;
-    out.session = wire::count(*body, "shift");
+    out.session = wire::count_field(*body, "shift");
     const Json* orders = wire::field(*body, "orders");
     if (orders == nullptr || !orders->is_array()) return out;
     for (const Json& order : *orders) {
@@ -91,4 +92,4 @@
     return body;
 }
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/standin/worker_messages.h
+++ b/emulator/worker_messages.h
@@ -8,17 +8,17 @@
 #include "wire/cbor.h"
 #include "wire/messages.h"
 
-namespace nickelramp::standin {
+namespace nickelramp::emulator {
 
-std::string encode_report(const wire::Report& report);
+std::string encode_heartbeat(const wire::Heartbeat& heartbeat);
 
-struct Orders {
+struct WorkerCommands {
     std::uint64_t token = 0;
     std::optional<std::uint64_t> session;  // of direct commands only
     std::vector<wire::Command> commands;
 };
 // Nothing if it cannot be read or names no token.
-std::optional<Orders> read_orders(const std::string& body);
+std::optional<WorkerCommands> decode_commands(const std::string& body);
 wire::Json job_body(const wire::JobSpec& spec);
 
-}  // namespace nickelramp::standin
+}  // namespace nickelramp::emulator
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -31,20 +31,20 @@
                   .Help("What the leader has: machines by state, jobs, tasks")
                   .Register(registry_)) {}
 
-void Metrics::answered(const char* request, int status, double ms) {
+void Metrics::record_answer(const char* request, int status, double ms) {
     answers_.Add({{"request", request}, {"status", std::to_string(status)}}).Increment();
     answer_ms_.Add({{"request", request}}, kMs).Observe(ms);
 }
 
-void Metrics::started(const std::string& job_class, double seconds) {
+void Metrics::record_start(const std::string& job_class, double seconds) {
     start_s_.Add({{"class", job_class}}, kSeconds).Observe(seconds);
 }
 
-void Metrics::finished(const std::string& job_class, double seconds) {
+void Metrics::record_finish(const std::string& job_class, double seconds) {
     finish_s_.Add({{"class", job_class}}, kSeconds).Observe(seconds);
 }
 
-void Metrics::gauge(const char* name, const std::string& label, double value) {
+void Metrics::set_gauge(const char* name, const std::string& label, double value) {
     gauges_.Add({{"of", name}, {"state", label}}).Set(value);
 }
 
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -14,10 +14,10 @@
   public:
     Metrics();
 
-    void answered(const char* request, int status, double ms);
-    void started(const std::string& job_class, double seconds);   // from acceptance to running
-    void finished(const std::string& job_class, double seconds);  // from acceptance to done
-    void gauge(const char* name, const std::string& label, double value);
+    void record_answer(const char* request, int status, double ms);
+    void record_start(const std::string& job_class, double seconds);   // from acceptance to running
+    void record_finish(const std::string& job_class, double seconds);  // from acceptance to done
+    void set_gauge(const char* name, const std::string& label, double value);
     std::string text() const;
 
   private:
--- a/src/admin/options.cpp
+++ b/src/admin/options.cpp
@@ -8,9 +8,9 @@
 
 const std::vector<Option>& all_options() {
     static const std::vector<Option> options = {
-        {"lent_machines", &Options::lent_machines, 0, 16, true},
-        {"keep_margin", &Options::keep_margin, 0, 20, false},
-        {"hire_margin", &Options::hire_margin, 0, 20, false},
+        {"lent_machines", &Options::delegated_machines, 0, 16, true},
+        {"keep_margin", &Options::idle_retention_margin, 0, 20, false},
+        {"hire_margin", &Options::provisioning_margin, 0, 20, false},
         {"spot_margin", &Options::spot_margin, 0, 20, false},
         {"replica_margin", &Options::replica_margin, 0, 20, false},
         {"use_spot", &Options::use_spot, 0, 1, true},
@@ -19,8 +19,8 @@
 }
 
 const Option* find_option(const std::string& name) {
-    for (const Option& o : all_options()) {
-        if (name == o.name) return &o;
+    for (const Option& option : all_options()) {
+        if (name == option.name) return &option;
     }
     return nullptr;
 }
@@ -30,10 +30,11 @@
     double v = value.is_boolean()  ? (value.get<bool>() ? 1 : 0)
                : value.is_number() ? value.get<double>()
                                    : NAN;
-    if (!std::isfinite(v) || v < option.least || v > option.most ||
-        (option.whole && v != std::floor(v))) {
-        error = fmt::format("{} must be a {} from {} to {}", option.name,
-                            option.whole ? "whole number" : "number", option.least, option.most);
+    if (!std::isfinite(v) || v < option.min || v > option.max ||
+        (option.whole_number && v != std::floor(v))) {
+        error =
+            fmt::format("{} must be a {} from {} to {}", option.name,
+                        option.whole_number ? "whole number" : "number", option.min, option.max);
         return false;
     }
     options.*option.member = v;
@@ -42,15 +43,16 @@
 
 wire::Json options_json(const Options& options) {
     wire::Json out = wire::Json::object();
-    for (const Option& o : all_options()) out[o.name] = options.*o.member;
+    for (const Option& option : all_options()) out[option.name] = options.*option.member;
     return out;
 }
 
 Options read_options(const wire::Json& record) {
     Options out;
     std::string error;
-    for (const Option& o : all_options()) {
-        if (const wire::Json* v = wire::field(record, o.name)) set_option(out, o, *v, error);
+    for (const Option& option : all_options()) {
+        if (const wire::Json* v = wire::field(record, option.name))
+            set_option(out, option, *v, error);
     }
     return out;
 }
--- a/src/admin/options.h
+++ b/src/admin/options.h
@@ -9,12 +9,12 @@
 namespace nickelramp::admin {
 
 struct Options {
-    double lent_machines = 2;  // to each other controller
+    double delegated_machines = 2;  // to each other controller
     // Whole machines for tasks that take one each, beyond what is expected to be used and left
     // within a boot time, in standard deviations of that:
-    double keep_margin = 2;     // not given back
-    double hire_margin = 1;     // hired ahead
-    double spot_margin = 0.5;   // the same for room on spot machines, hired ahead
+    double idle_retention_margin = 2;  // not given back
+    double provisioning_margin = 1;    // hired ahead
+    double spot_margin = 0.5;          // the same for room on spot machines, hired ahead
     double replica_margin = 1;  // room for replicas, in deviations of what comes within a boot
     double use_spot = 1;        // 0: hire ordinary machines only
 };
@@ -22,8 +22,8 @@
 struct Option {
     const char* name;
     double Options::*member;
-    double least, most;
-    bool whole;  // no fractions
+    double min, max;
+    bool whole_number;  // no fractions
 };
 const std::vector<Option>& all_options();
 
--- a/src/admin/desk.h
+++ b/src/admin/request_handler.h
@@ -14,21 +14,21 @@
 
 #include "admin/metrics.h"
 #include "admin/options.h"
+#include "kvstore/client.h"
 #include "net/http_server.h"
-#include "state/client.h"
 
 namespace nickelramp::admin {
 
 inline constexpr const char* kOptionsKey = "admin/settings";
 
-class Desk {
+class AdminRequestHandler {
   public:
     struct Hooks {
         std::function<wire::Json()> status;
-        std::function<void()> gather;  // brings the gauges up to date
+        std::function<void()> update_gauges;  // brings the gauges up to date
     };
-    Desk(uv_loop_t* loop, state::Client& state, Metrics& metrics, Hooks hooks,
-         std::function<void(const Options&)> changed);
+    AdminRequestHandler(uv_loop_t* loop, kvstore::Client& state, Metrics& metrics, Hooks hooks,
+                        std::function<void(const Options&)> changed);
 
     void start();  // follows the stored settings from now on
     bool handle(const net::Request& request, const net::Responder& responder);
@@ -37,14 +37,15 @@
   private:
     void read();
     void watch();
-    void put(const Option& option, const wire::Json& value, int tries, net::Responder responder);
-    void take(const Options& options);
+    void write_option(const Option& option, const wire::Json& value, int tries,
+                      net::Responder responder);
+    void apply_options(const Options& options);
 
-    state::Client& state_;
+    kvstore::Client& state_;
     Metrics& metrics_;
     Hooks hooks_;
-    std::function<void(const Options&)> changed_;
-    net::Timer retry_;
+    std::function<void(const Options&)> on_changed_;
+    net::Timer retry_timer_;
     Options options_;
     std::uint64_t revision_ = 0;
 };
--- a/src/jobs/records.h
+++ b/src/api/job_store.h
@@ -5,26 +5,27 @@
 #include <string>
 
 #include "base/time.h"
-#include "state/client.h"
+#include "kvstore/client.h"
 
-namespace nickelramp::jobs {
+namespace nickelramp::api {
 
-class Records {
+class JobStore {
   public:
     template <typename Reply>
     using Done = std::function<void(Millis, const Reply&)>;
 
-    virtual ~Records() = default;
-    virtual void get(const std::string& key, Millis wait, Done<state::GetReply> done) = 0;
+    virtual ~JobStore() = default;
+    virtual void get(const std::string& key, Millis wait, Done<kvstore::GetReply> done) = 0;
     // All changes under the prefix after that revision, and the revision that they lead to.
     virtual void changes(const std::string& prefix, std::uint64_t after,
-                         Done<state::ListReply> done) = 0;
+                         Done<kvstore::ListReply> done) = 0;
     // Something at or after the present revision, as a place to begin.
-    virtual void revision(Done<state::ListReply> done) = 0;
-    virtual void commit(const state::Txn& txn, Millis wait, Done<state::CommitReply> done) = 0;
+    virtual void revision(Done<kvstore::ListReply> done) = 0;
+    virtual void commit(const kvstore::Transaction& transaction, Millis wait,
+                        Done<kvstore::CommitReply> done) = 0;
     // The next change under the prefix after that revision; nothing if none comes in that time.
     virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait,
-                       Done<state::ListReply> done) = 0;
+                       Done<kvstore::ListReply> done) = 0;
 };
 
-}  // namespace nickelramp::jobs
+}  // namespace nickelramp::api
--- a/src/base/owned.h
+++ b/src/base/owned_value.h
@@ -5,18 +5,18 @@
 namespace nickelramp {
 
 template <typename T, typename Owner>
-class Owned {
+class OwnedValue {
   public:
-    Owned() = default;
-    explicit constexpr Owned(T value) : value_(value) {}
-    Owned(const Owned&) = default;
+    OwnedValue() = default;
+    explicit constexpr OwnedValue(T value) : value_(value) {}
+    OwnedValue(const OwnedValue&) = default;
     operator T() const { return value_; }
     const T& get() const { return value_; }
 
   private:
     friend Owner;
-    Owned& operator=(const Owned&) = default;
-    T& own() { return value_; }
+    OwnedValue& operator=(const OwnedValue&) = default;
+    T& mutable_value() { return value_; }
     T value_{};
 };
 
--- a/src/fleet/kind.h
+++ b/src/cloud/machine_kind.h
@@ -4,12 +4,12 @@
 
 #include "base/names.h"
 
-namespace nickelramp::fleet {
+namespace nickelramp::cloud {
 
-struct Kind {
+struct MachineKind {
     Index type = kNone, zone = kNone;
     bool spot = false;
-    auto operator<=>(const Kind&) const = default;
+    auto operator<=>(const MachineKind&) const = default;
 };
 
-}  // namespace nickelramp::fleet
+}  // namespace nickelramp::cloud
--- a/src/fleet/hire.h
+++ b/src/cloud/provision_reply.h
@@ -3,14 +3,14 @@
 #include <string>
 #include <vector>
 
-namespace nickelramp::fleet {
+namespace nickelramp::cloud {
 
-struct HireReply {
+struct ProvisionReply {
     // trouble: the cloud says that it did not do it; unsent: nothing went out; unknown: it may have
     // been done, or may yet be
-    enum class Result { hired, no_capacity, trouble, unsent, unknown, malformed };
+    enum class Result { provisioned, no_capacity, rejected, not_sent, unknown, malformed };
     Result result = Result::unknown;
     std::vector<std::string> machines;
 };
 
-}  // namespace nickelramp::fleet
+}  // namespace nickelramp::cloud
--- /dev/null
+++ b/src/control/control_loop.cpp
@@ -0,0 +1,241 @@
+#include "control/control_loop.h"
+
+#include <algorithm>
+#include <set>
+
+namespace nickelramp::control {
+
+using jobs::JobState;
+
+namespace {
+constexpr Millis kPassGap = 20;     // news gathers this long
+constexpr Millis kSupplyGap = 250;  // a boot takes far longer
+}  // namespace
+
+ControlLoop::ControlLoop(const wire::Settings& settings, TermInfo info, ServiceGateway& gateway,
+                         Millis now, TermScope role)
+    : term_(settings, std::move(info), role, gateway),
+      cluster_(term_, *this, *this, now),
+      forecast_(term_, cluster_),
+      intent_log_(term_, *this),
+      heartbeat_delegator_(settings),
+      failure_detector_(term_, cluster_, heartbeat_delegator_),
+      checkpoint_writer_(term_, cluster_, *this),
+      shard_lease_writer_(term_, cluster_, *this, *this),
+      lifecycle_(term_, cluster_, checkpoint_writer_),
+      placement_rules_(term_, cluster_, forecast_),
+      job_queue_(term_, cluster_, forecast_, placement_rules_, provisioning_),
+      scheduler_(cluster_, forecast_, placement_rules_),
+      shard_allocator_(term_, cluster_, *this, shard_lease_writer_, lifecycle_, forecast_,
+                       placement_rules_),
+      autoscaler_(term_, cluster_, *this, forecast_, placement_rules_, provisioning_, intent_log_,
+                  failure_detector_),
+      rebalancer_(term_, cluster_, placement_rules_),
+      drain_planner_(term_, cluster_, forecast_, placement_rules_, failure_detector_),
+      command_sender_(term_, cluster_, *this, failure_detector_, *this),
+      started_at_(now),
+      inherited_token_(shards::term_token(term_.info().number) - 1) {}
+
+// A machine that somebody has answered before this book: it is asked what is on it.
+void ControlLoop::inherit_machine(const shards::ShardMember& member, std::uint64_t token) {
+    Machine* machine = cluster_.add_machine(member.name, started_at_);
+    cluster_.set_machine_identity(*machine, member.address, member.type, member.zone, member.spot);
+    machine->up_at = started_at_;
+    machine->lease_until = cluster_.inherited_leases_expire_at();
+    cluster_.take_control(*machine, token,
+                          failure_detector_.expected_recovery_by(machine->zone, started_at_));
+    cluster_.set_machine_state(*machine, MachineState::joining);
+}
+
+void ControlLoop::load_shard(std::uint32_t n, shards::Shard shard) {
+    shards::ShardLeaseTable& ledger = shard_lease_writer_.table();
+    ledger.load_shard(n, std::move(shard));
+    for (const shards::ShardMember& member : ledger.shard(n).members)
+        inherit_machine(member, ledger.shard(n).fencing_token);
+}
+
+void ControlLoop::load_intents(const std::string& key, const wire::Json& value,
+                               std::uint64_t version) {
+    auto parsed = autoscaling::parse_intent_key(key);
+    if (!parsed || parsed->second >= term_.info().number) return;
+    autoscaler_.inherit_intents(parsed->first, intent_log_.load(parsed->first, key, value, version),
+                                started_at_);
+}
+
+void ControlLoop::start(Millis now) {
+    started_ = true;
+    for (auto& [id, job] : cluster_.jobs()) lifecycle_.complete_load(*job, now);
+    tick(now);
+}
+
+void ControlLoop::on_machine_gone(const Machine& machine) {
+    if (machine.type != kNone)
+        provisioning_.on_machine_freed({machine.type, machine.zone, machine.spot});
+    shard_lease_writer_.table().remove_machine(machine.name);
+    intent_log_.remove(lease::Role::scale_in, machine.name);
+}
+
+void ControlLoop::on_first_run(const Job& job, const Attempt& attempt, Millis now) {
+    if (metrics_ == nullptr || attempt.number != 1) return;
+    metrics_->record_start(job.spec.job_class, static_cast<double>(now - job.accepted_at) / 1000.0);
+}
+
+// Every job of the book was read before the list was asked for: what the list lacks is over.
+void ControlLoop::on_open_list(const kvstore::ListReply& all, std::int64_t wall_ms, Millis now) {
+    std::set<std::string> over;
+    for (const auto& [id, j] : cluster_.jobs()) over.insert(id);
+    for (const kvstore::Entry& entry : all.entries) {
+        over.erase(jobs::job_id_of_open_key(entry.key));
+        if (auto record = jobs::decode_open_record(entry.value))
+            on_open_record(*record, entry.version, wall_ms, now);
+    }
+    for (const std::string& id : over) on_open_record_deleted(id, now);
+}
+
+void ControlLoop::schedule_if_needed(Millis now) {
+    if (cluster_.scheduling_needed() && now >= next_scheduling_at_) run_scheduling_pass(now);
+}
+
+void ControlLoop::on_instances_listed(const std::vector<wire::CloudInstance>& hosts, Millis asked,
+                                      Millis now) {
+    autoscaler_.on_instances_listed(hosts, now);
+    if (!term_.is_shard_holder()) failure_detector_.check_missing_instances(hosts, asked, now);
+}
+
+void ControlLoop::on_peer_status(const peers::Status& status, Millis now) {
+    heartbeat_delegator_.on_peer_status(status, term_.info().number, now);
+    shard_allocator_.on_peer_status(status, now);
+}
+
+std::vector<std::pair<std::string, peers::HeartbeatDelegation>> ControlLoop::heartbeat_delegations(
+    Millis view_fresh, Millis now) {
+    if (!term_.lease_confirmed(now)) return {};
+    return heartbeat_delegator_.delegations(term_.info().number,
+                                            shard_lease_writer_.table().highest_granted_token(),
+                                            shard_allocator_.active_tokens(), view_fresh, now);
+}
+
+// --- the holder's side
+
+void ControlLoop::take_shard(const peers::ShardGrant& grant, Millis now) {
+    term_.set_shard_condition(
+        {shards::shard_key(static_cast<std::uint32_t>(grant.shard)), grant.shard_version});
+    inherited_token_ = grant.token - 1;
+    for (const shards::ShardMember& member : grant.machines) {
+        inherit_machine(member, grant.token);
+        Machine& machine = *cluster_.machine(member.name);
+        machine.shard_recorded = true;
+        command_sender_.queue(machine);
+    }
+    start(now);
+}
+
+void ControlLoop::add_delegated_job(const jobs::OpenRecord& record, std::uint64_t version,
+                                    const kvstore::ListReply& runs, std::int64_t wall_ms,
+                                    Millis now) {
+    if (cluster_.job(record.spec.id) != nullptr) return;
+    Job& job = cluster_.add_job(record, version, wall_ms, now);
+    lifecycle_.load_checkpoints(runs, inherited_token_, now);
+    lifecycle_.complete_load(job, now);
+    if (cluster_.scheduling_needed()) run_scheduling_pass(now);
+}
+
+void ControlLoop::cancel_delegated_job(const std::string& id, Millis now) {
+    Job* job = cluster_.job(id);
+    if (job == nullptr || job->state == JobState::cancelled) return;
+    // Its version is needed to finish it: the record is read again.
+    term_.gateway().read(jobs::open_key(id),
+                         term_.guarded([this](Millis t, const kvstore::GetReply& reply) {
+                             auto record = reply.status == kvstore::Status::ok
+                                               ? jobs::decode_open_record(reply.entry.value)
+                                               : std::nullopt;
+                             if (record && cluster_.job(record->spec.id) != nullptr)
+                                 on_open_record(*record, reply.entry.version, 0, t);
+                             command_sender_.send_queued(t);
+                         }));
+    // What runs is stopped at once.
+    lifecycle_.cancel(*job, now);
+    command_sender_.send_queued(now);
+}
+
+// --- what time brings
+
+void ControlLoop::tick(Millis now) {
+    if (!started_ || term_.is_over()) return;
+    failure_detector_.update(now);
+    check_machines(now);
+    if (!term_.is_shard_holder()) {
+        rebalancer_.consolidate(now);
+        shard_allocator_.allocate_shards(now);
+        shard_allocator_.check_leases(now);
+        shard_lease_writer_.write(now);
+        autoscaler_.run_due_work(now);
+        drain_planner_.advance(now);
+    }
+    lifecycle_.delete_leftover_records(now);
+    lifecycle_.run_due_jobs(now);
+    command_sender_.send_queued(now);
+    if (cluster_.scheduling_needed() || now >= next_scheduling_at_ + 1000) run_scheduling_pass(now);
+}
+
+// One look at all jobs that want places, in their order.
+void ControlLoop::run_scheduling_pass(Millis now) {
+    if (!started_ || term_.is_over()) return;
+    cluster_.clear_scheduling_request();
+    lifecycle_.run_due_jobs(now);
+    // A long queue is looked through less often.
+    next_scheduling_at_ = now + kPassGap + static_cast<Millis>(cluster_.pending_jobs().size() / 4);
+    std::vector<Job*> unplaced;
+    forecast_.clear_whole_machines_wanted();
+    cluster_.expire_quota_reservations(now);
+    const std::vector<Job*> order = job_queue_.ordered_jobs(now);
+    job_queue_.forecast(order, now);
+    for (Job* job : order) {
+        if (term_.lease_confirmed(now) && !shard_allocator_.delegate_job(*job, now)) {
+            scheduler_.place_job(*job, now);
+            if (now >= checkpoint_writer_.next_write_at(*job))
+                checkpoint_writer_.write(*job, now);
+            else
+                lifecycle_.schedule_next_wake_up(*job, now);
+        }
+        if (job->placeable_tasks() > 0) {
+            if (job->unplaced_since == 0) job->unplaced_since = now;
+            unplaced.push_back(job);
+            forecast_.add_whole_machines_wanted(*job);
+        }
+    }
+    if (term_.lease_confirmed(now) && !term_.is_shard_holder()) {
+        shard_allocator_.set_jobs_starving(!unplaced.empty(), now);
+        shard_allocator_.check_leases(now);
+        if (now >= next_autoscaling_at_) {
+            next_autoscaling_at_ = now + kSupplyGap;
+            autoscaler_.scale_out(unplaced, job_queue_.shortage(), now);
+        } else if (!unplaced.empty()) {
+            cluster_.request_scheduling();
+        }
+    }
+    command_sender_.send_queued(now);
+}
+
+ControlLoop::Progress ControlLoop::progress(const std::string& id) const {
+    const Job* job = cluster_.job(id);
+    if (job == nullptr) return {};
+    if (job->delegated_shard != kNone) return {true, job->delegated_done, job->delegated_running};
+    return {true, job->completed_tasks, job->running_attempts};
+}
+
+ControlLoop::Summary ControlLoop::summary() const {
+    Summary s;
+    for (const auto& [id, j] : cluster_.jobs()) {
+        if (j->state == JobState::open) {
+            ++s.open_jobs;
+            s.waiting_tasks += j->unplaced_tasks();
+        }
+        s.live_attempts += j->live_attempts;
+    }
+    for (const Machine* machine : cluster_.machines())
+        ++s.machines[static_cast<std::size_t>(machine->state.get())];
+    return s;
+}
+
+}  // namespace nickelramp::control
--- a/src/app/main.cpp
+++ b/src/controller/main.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "app/node.h"
+#include "controller/controller.h"
 #include "wire/settings.h"
 
 namespace {
@@ -41,8 +41,8 @@
     std::string config;
     bool check = false;
     cli.add_option("--config", config, "settings file (JSON)")->required();
-    nickelramp::app::Features features;
-    cli.add_flag("--plans", features.plans, "serve drain plans, /admin/plans");
+    nickelramp::controller::FeatureFlags features;
+    cli.add_flag("--plans", features.drain_plans, "serve drain plans, /admin/plans");
     cli.add_flag("--check", check, "check the settings and end");
     cli.set_version_flag("--version", NICKELRAMP_VERSION);
     try {
@@ -75,7 +75,7 @@
     }
     signal(SIGPIPE, SIG_IGN);
     uv_loop_t* loop = uv_default_loop();
-    nickelramp::app::Node node(loop, settings, features);
+    nickelramp::controller::Controller node(loop, settings, features);
     if (int rc = node.start(); rc < 0) {
         std::cerr << "cannot listen on " << settings.listen << ": " << uv_strerror(rc) << "\n";
         return 1;
--- a/src/app/worker_clients.h
+++ b/src/controller/worker_connections.h
@@ -9,22 +9,23 @@
 #include <unordered_map>
 
 #include "base/time.h"
-#include "book/outbox.h"
+#include "cluster/service_gateway.h"
 #include "net/http_client.h"
 #include "wire/messages.h"
 
-namespace nickelramp::app {
+namespace nickelramp::controller {
 
-class WorkerClients {
+class WorkerConnections {
   public:
-    using Done = std::function<void(Millis, const book::DirectReply&)>;
+    using Done = std::function<void(Millis, const cluster::CommandReply&)>;
     // `most`: connections that stay open between commands.
-    WorkerClients(uv_loop_t* loop, std::size_t most) : loop_(loop), most_(most) {}
+    WorkerConnections(uv_loop_t* loop, std::size_t most)
+        : loop_(loop), max_idle_connections_(most) {}
 
     // `may` is asked as the bytes go out. Without a usable address nothing is sent, and `done` is
     // never called.
-    void command(const std::string& machine, const std::string& address, std::string body,
-                 Done done, net::HttpClient::Ask may);
+    void send_command(const std::string& machine, const std::string& address, std::string body,
+                      Done done, net::HttpClient::MaySend may);
     // Closes what is of no use any more; `needed` says whether a machine is still there.
     void prune(const std::function<bool(const std::string& machine)>& needed);
     void clear() { clients_.clear(); }
@@ -38,8 +39,8 @@
     Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
 
     uv_loop_t* loop_;
-    const std::size_t most_;
+    const std::size_t max_idle_connections_;
     std::unordered_map<std::string, Entry> clients_;  // by machine
 };
 
-}  // namespace nickelramp::app
+}  // namespace nickelramp::controller
--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <sstream>
 
-#include "ctl/asker.h"
+#include "ctl/controller_client.h"
 #include "ctl/show.h"
 #include "drain/plan.h"
 #include "wire/messages.h"
@@ -55,8 +55,9 @@
     void abort() { keep_asking("POST", "/work/" + command_.id + "/abort", "", job_answer()); }
     // What only the leader knows is asked for until one answers that is it.
     void status(Text text) {
-        keep_asking("GET", "/admin/status", "",
-                    [this, text](const Answer& a) { on_status(a, text, asker_.controllers()); });
+        keep_asking("GET", "/admin/status", "", [this, text](const ControllerReply& a) {
+            on_status(a, text, asker_.controllers());
+        });
     }
     void settings() { keep_asking("GET", kSettings, "", text_answer(settings_text)); }
     void set(const Json& value) {
@@ -65,21 +66,22 @@
     }
     // Asks for a plan, and then until it is made.
     void make_plan(const Json& request) {
-        keep_asking("POST", drain::kPath, request.dump(), [this](const Answer& a) {
+        keep_asking("POST", drain::kPlansPath, request.dump(), [this](const ControllerReply& a) {
             if (fine(a)) show_plan();
         });
     }
     void show_plan() {
-        keep_asking("GET", plan_path(), "", [this](const Answer& a) { on_plan(a); });
+        keep_asking("GET", plan_path(), "", [this](const ControllerReply& a) { on_plan(a); });
     }
-    void list_plans() { keep_asking("GET", drain::kPath, "", text_answer(plans_text)); }
+    void list_plans() { keep_asking("GET", drain::kPlansPath, "", text_answer(plans_text)); }
     bool busy() const { return waits_ || !asker_.idle(); }
     int code() const { return code_; }
 
   private:
     // Once now, and again whenever it is time to.
-    void keep_asking(std::string method, std::string target, std::string body, Asker::Done done) {
-        begin_ = [this, method, target, body, done] { asker_.ask(method, target, body, done); };
+    void keep_asking(std::string method, std::string target, std::string body,
+                     ControllerClient::Done done) {
+        begin_ = [this, method, target, body, done] { asker_.request(method, target, body, done); };
         begin();
     }
     void begin() {
@@ -90,12 +92,12 @@
         waits_ = true;
         again_.after(pause);
     }
-    std::string plan_path() const { return std::string(drain::kPath) + "/" + command_.id; }
-    Asker::Done job_answer() {
-        return [this](const Answer& a) { on_job(a); };
+    std::string plan_path() const { return std::string(drain::kPlansPath) + "/" + command_.id; }
+    ControllerClient::Done job_answer() {
+        return [this](const ControllerReply& a) { on_job(a); };
     }
-    Asker::Done text_answer(Text text) {
-        return [this, text](const Answer& a) {
+    ControllerClient::Done text_answer(Text text) {
+        return [this, text](const ControllerReply& a) {
             const auto body = read(a);
             if (!body) return;
             print(*body, text(*body));
@@ -103,17 +105,18 @@
         };
     }
     // False when there is nothing to be printed but the trouble.
-    bool fine(const Answer& a) {
-        if (!a.given) {
-            err_ << "no controller has answered (" << a.tries << " tries)";
-            if (a.reached) err_ << "; what was asked for may have been done all the same";
+    bool fine(const ControllerReply& a) {
+        if (!a.answered) {
+            err_ << "no controller has answered (" << a.attempts << " tries)";
+            if (a.reached_controller)
+                err_ << "; what was asked for may have been done all the same";
             err_ << "\n";
-            code_ = kNobody;
+            code_ = kExitNoAnswer;
             return false;
         }
         if (a.status >= 400) {
             err_ << error_text(a.status, a.body);
-            code_ = kRefused;
+            code_ = kExitRejected;
             return false;
         }
         return true;
@@ -126,28 +129,28 @@
         out_.flush();
     }
     // The map in it, whether for users (CBOR) or for people (JSON); nothing when there is trouble.
-    std::optional<Json> read(const Answer& a) {
+    std::optional<Json> read(const ControllerReply& a) {
         if (!fine(a)) return std::nullopt;
         if (auto map = wire::decode_map(a.body)) return map;
         Json body = Json::parse(a.body, nullptr, false);
         if (body.is_object()) return body;
         err_ << "the answer cannot be read\n";
-        code_ = kNobody;
+        code_ = kExitNoAnswer;
         return std::nullopt;
     }
     void watch() {
         if (command_.watch_s > 0) again_after(seconds(command_.watch_s));
     }
-    void on_job(const Answer& a) {
+    void on_job(const ControllerReply& a) {
         const auto job = read(a);
         if (!job) return;
         print(*job, job_text(*job));
-        const auto status = wire::text(*job, "status");
+        const auto status = wire::text_field(*job, "status");
         const bool over = status == wire::final_name(wire::JobStatus::done) ||
                           status == wire::final_name(wire::JobStatus::cancelled);
         if (!over) watch();
     }
-    void on_status(const Answer& a, Text text, std::size_t left) {
+    void on_status(const ControllerReply& a, Text text, std::size_t left) {
         const auto status = read(a);
         if (!status) return;
         auto show = [this, text, status] {
@@ -159,25 +162,25 @@
             return;
         }
         // Not the leader: the next one may be.
-        asker_.ask(
+        asker_.request(
             "GET", "/admin/status", "",
-            [this, text, left, show](const Answer& other) {
-                if (other.given && other.status < 400)
+            [this, text, left, show](const ControllerReply& other) {
+                if (other.answered && other.status < 400)
                     on_status(other, text, left - 1);
                 else
                     show();
             },
             (a.controller + 1) % asker_.controllers());
     }
-    void on_plan(const Answer& a) {
+    void on_plan(const ControllerReply& a) {
         auto page = read(a);
         if (!page) return;
-        const auto state = wire::text(*page, "state");
+        const auto state = wire::text_field(*page, "state");
         if (state == "planning") {
             again_after(kPlanPause);
             return;
         }
-        const auto next = wire::count(*page, "next");
+        const auto next = wire::count_field(*page, "next");
         // Large ones come in pages.
         if (plan_.is_null()) {
             plan_ = std::move(*page);
@@ -185,15 +188,15 @@
             for (Json& step : (*page)["steps"]) plan_["steps"].push_back(std::move(step));
         }
         if (next) {
-            asker_.ask("GET", plan_path() + "?from=" + std::to_string(*next), "",
-                       [this](const Answer& more) { on_plan(more); });
+            asker_.request("GET", plan_path() + "?from=" + std::to_string(*next), "",
+                           [this](const ControllerReply& more) { on_plan(more); });
             return;
         }
         plan_.erase("next");
         print(plan_, plan_text(plan_, command_.moves));
-        if (state == "refused") code_ = kRefused;
+        if (state == "refused") code_ = kExitRejected;
     }
-    Asker asker_;
+    ControllerClient asker_;
     const Command& command_;
     net::Timer again_;
     std::ostream& out_;
@@ -201,7 +204,7 @@
     std::function<void()> begin_;
     Json plan_;           // what has come of it
     bool waits_ = false;  // for the time to ask again
-    int code_ = kFine;
+    int code_ = kExitOk;
 };
 
 // A job as JSON, checked as a controller would, so that a slip is told before anybody is asked.
@@ -308,7 +311,7 @@
         if (c.give_up_s > 0) config.give_up_s = c.give_up_s;
         if (submit->parsed()) {
             job = read_job(c.file, in, err);
-            if (!job) return kMisuse;
+            if (!job) return kExitUsage;
         }
         if ((show->parsed() || abort->parsed()) && !wire::valid_job_id(c.id)) {
             throw std::runtime_error("'" + c.id + "' is no job's id");
@@ -331,14 +334,14 @@
             if (value.is_discarded()) throw std::runtime_error("'" + c.value + "' is no value");
         }
     } catch (const CLI::ParseError& e) {
-        return cli.exit(e, out, err) == 0 ? kFine : kMisuse;
+        return cli.exit(e, out, err) == 0 ? kExitOk : kExitUsage;
     } catch (const std::exception& e) {
         err << e.what() << "\n";
-        return kMisuse;
+        return kExitUsage;
     }
     uv_loop_t loop;
     uv_loop_init(&loop);
-    int code = kFine;
+    int code = kExitOk;
     {
         Program program(&loop, config, c, out, err);
         if (submit->parsed()) program.submit(*job);
--- a/src/ctl/program.h
+++ b/src/ctl/program.h
@@ -9,10 +9,10 @@
 namespace nickelramp::ctl {
 
 // Exit codes.
-inline constexpr int kFine = 0;
-inline constexpr int kRefused = 1;  // the service has answered, and says no
-inline constexpr int kMisuse = 2;   // arguments, settings or files that make no sense
-inline constexpr int kNobody = 3;   // no controller has answered in time
+inline constexpr int kExitOk = 0;
+inline constexpr int kExitRejected = 1;  // the service has answered, and says no
+inline constexpr int kExitUsage = 2;     // arguments, settings or files that make no sense
+inline constexpr int kExitNoAnswer = 3;  // no controller has answered in time
 
 // Runs one command to its end on a loop of its own.
 int run(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out,
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -82,10 +82,10 @@
                                   cell(status, "leader"), cell(status, "state_service"));
     const Json* book = wire::field(status, "book");
     if (book == nullptr) return out + "no leader answered\n";
-    out += fmt::format("term {}{}, {} open jobs, {} waiting, {} late\n", cell(*book, "term"),
-                       wire::flag(*book, "confirmed").value_or(false) ? "" : " (not confirmed)",
-                       cell(*book, "open_jobs"), list_of(*book, "waiting").size(),
-                       list_of(*book, "late").size());
+    out += fmt::format(
+        "term {}{}, {} open jobs, {} waiting, {} late\n", cell(*book, "term"),
+        wire::flag_field(*book, "confirmed").value_or(false) ? "" : " (not confirmed)",
+        cell(*book, "open_jobs"), list_of(*book, "waiting").size(), list_of(*book, "late").size());
     if (const Json* machines = wire::field(*book, "machines");
         machines != nullptr && machines->is_object()) {
         std::vector<std::vector<std::string>> rows;
--- a/src/links/links.h
+++ b/src/dependencies/dependency_automata.h
@@ -12,7 +12,7 @@
 
 #include "base/names.h"
 
-namespace nickelramp::links {
+namespace nickelramp::dependencies {
 
 using Event = Index;
 using Automaton = Index;
@@ -24,46 +24,48 @@
 };
 
 // What an automaton knows of one of its events.
-enum class Fate : std::uint8_t { open, occurred, never };
+enum class EventStatus : std::uint8_t { open, occurred, excluded };
 
-enum class Answer : std::uint8_t { accepted, pending, rejected };
+enum class SubmitResult : std::uint8_t { accepted, pending, rejected };
 
 // What one submission led to, in the order of execution. Events that were pending may be among
 // them.
-struct Outcome {
-    Answer answer = Answer::pending;
+struct SubmitOutcome {
+    SubmitResult result = SubmitResult::pending;
     std::vector<Event> accepted;
     std::vector<Event> rejected;
     std::vector<Automaton> violated;  // facts that no automaton could prevent
 };
 
-class Links {
+class DependencyAutomata {
   public:
     enum class Kind : std::uint8_t { order, existence };
 
     Event add_event(Attributes attributes);
     // Takes the event and every automaton that mentions it out.
-    void remove_event(Event e);
+    void remove_event(Event event);
 
     // Built from what has happened already. `violated` is set when that is too late.
     Automaton add(Kind kind, Event e1, Event e2, bool* violated = nullptr);
-    void remove(Automaton a);
+    void remove(Automaton automaton);
 
     // The event was submitted: it happens, waits as pending, or is turned down. Related pending
     // events are retried in the order of their arrival.
-    Outcome submit(Event e);
+    SubmitOutcome submit(Event event);
     // The event can no longer be submitted (the paper's termination event).
-    Outcome terminate(Event e);
+    SubmitOutcome terminate(Event event);
 
-    Fate fate(Event e) const { return events_[e].fate; }
-    bool pending(Event e) const { return events_[e].arrival != 0 && events_[e].fate == Fate::open; }
-    std::size_t automata() const { return live_automata_; }
+    EventStatus status(Event event) const { return events_[event].status; }
+    bool pending(Event event) const {
+        return events_[event].arrival_order != 0 && events_[event].status == EventStatus::open;
+    }
+    std::size_t automaton_count() const { return live_automaton_count_; }
 
   private:
-    enum class Act : std::uint8_t { accept, reject };
+    enum class Action : std::uint8_t { accept, reject };
     struct Step {
         Event event;
-        Act act;
+        Action action;
     };
     // One way through an automaton from its current state. `ordered`: the steps happen as listed;
     // otherwise they interleave freely.
@@ -76,39 +78,39 @@
 
     struct EventState {
         Attributes attributes;
-        Fate fate = Fate::open;
-        std::uint64_t arrival = 0;  // when submitted; 0: not yet
+        EventStatus status = EventStatus::open;
+        std::uint64_t arrival_order = 0;  // when submitted; 0: not yet
         std::vector<Automaton> mentioned_by;
         bool live = false;
     };
     // The local state: what has become of its two events.
-    struct Machine {
+    struct AutomatonState {
         Kind kind = Kind::order;
         Event e1 = kNone, e2 = kNone;
-        Fate f1 = Fate::open, f2 = Fate::open;
+        EventStatus status1 = EventStatus::open, status2 = EventStatus::open;
         bool live = false;
     };
 
-    Machine& machine(Automaton a) { return machines_[a]; }
-    void set_fate(Event e, Fate fate, std::vector<Automaton>* violated);
+    AutomatonState& automaton_state(Automaton automaton) { return automaton_states_[automaton]; }
+    void set_status(Event event, EventStatus status, std::vector<Automaton>* violated);
     bool executable(const Step& s, Event submitted) const;
-    void candidates(Automaton a, Event submitted, std::vector<Path>& out) const;
-    static const Step* step_of(const Path& p, Event e);
-    static const Step* decided(const Pathset& set, Event e);
-    bool agrees(const Pathset& set, const Path& p) const;
+    void candidates(Automaton automaton, Event submitted, std::vector<Path>& out) const;
+    static const Step* step_of(const Path& p, Event event);
+    static const Step* decided(const Pathset& set, Event event);
+    bool is_compatible(const Pathset& set, const Path& p) const;
     static bool order_consistent(const Pathset& set, const Path& p);
     bool search(Pathset& set, Event submitted) const;
-    void execute(const Pathset& set, Event submitted, Outcome& out);
-    bool attempt(Event e, Outcome& out);
-    void retry_pending(Outcome& out);
+    void execute(const Pathset& set, Event submitted, SubmitOutcome& out);
+    bool attempt(Event event, SubmitOutcome& out);
+    void retry_pending(SubmitOutcome& out);
 
     std::vector<EventState> events_;
     std::vector<Event> free_events_;
-    std::vector<Machine> machines_;
-    std::vector<Automaton> free_machines_;
+    std::vector<AutomatonState> automaton_states_;
+    std::vector<Automaton> free_automata_;
     std::vector<Event> pending_;  // in arrival order
-    std::uint64_t arrivals_ = 0;
-    std::size_t live_automata_ = 0;
+    std::uint64_t last_arrival_ = 0;
+    std::size_t live_automaton_count_ = 0;
 };
 
-}  // namespace nickelramp::links
+}  // namespace nickelramp::dependencies
--- a/src/drain/plan.cpp
+++ b/src/drain/plan.cpp
@@ -28,7 +28,7 @@
     };
     if (!body.is_object()) return wrong("the body");
     Request r;
-    r.id = wire::text(body, "id").value_or("");
+    r.id = wire::text_field(body, "id").value_or("");
     if (!good_id(r.id)) return wrong("id");
     if (const Json* list = wire::field(body, "machines")) {
         if (!list->is_array() || list->empty() || list->size() > kMostNamed) {
@@ -43,18 +43,18 @@
     }
     for (auto [field, to] : {std::pair{"zone", &r.zone}, std::pair{"type", &r.type}}) {
         if (wire::field(body, field) == nullptr) continue;
-        *to = wire::text(body, field).value_or("");
+        *to = wire::text_field(body, field).value_or("");
         if (to->empty()) return wrong(field);
     }
     if (wire::field(body, "all") != nullptr) {
-        if (!wire::flag(body, "all").value_or(false)) return wrong("all");
+        if (!wire::flag_field(body, "all").value_or(false)) return wrong("all");
         r.all = true;
     }
     const int ways =
         (r.machines.empty() ? 0 : 1) + (r.zone.empty() && r.type.empty() ? 0 : 1) + (r.all ? 1 : 0);
     if (ways != 1) return wrong("one of machines, zone or type, and all");
     if (wire::field(body, "at_once") != nullptr) {
-        const auto n = wire::count(body, "at_once").value_or(0);
+        const auto n = wire::count_field(body, "at_once").value_or(0);
         if (n < 1 || n > kMostNamed) return wrong("at_once");
         r.at_once = static_cast<std::uint32_t>(n);
     } else if (r.all) {
@@ -63,22 +63,22 @@
     return r;
 }
 
-const char* name(How h) {
+const char* name(MoveKind h) {
     switch (h) {
-        case How::moves:
+        case MoveKind::moves_elsewhere:
             return "moves";
-        case How::saves:
+        case MoveKind::checkpoints_and_moves:
             return "saves";
-        case How::runs_out:
+        case MoveKind::runs_to_end:
             return "runs_out";
-        case How::ending:
+        case MoveKind::already_stopping:
             return "ending";
     }
     return "?";
 }
 
-const char* name(PlanState s) {
-    switch (s) {
+const char* name(PlanState state) {
+    switch (state) {
         case PlanState::planning:
             return "planning";
         case PlanState::ready:
@@ -91,7 +91,7 @@
 
 Json plan_json(const Plan& p) {
     return {{"id", p.request.id},   {"state", name(p.state)}, {"machines", p.steps.size()},
-            {"empty_s", p.empty_s}, {"cost", p.cost},         {"refused", p.refusals.size()}};
+            {"empty_s", p.empty_s}, {"cost", p.cost},         {"refused", p.violations.size()}};
 }
 
 Json plan_page(const Plan& p, std::size_t from) {
@@ -106,13 +106,13 @@
         for (const Move& m : s.moves) {
             list.push_back({{"job", m.job},
                             {"task", m.task},
-                            {"how", name(m.how)},
+                            {"how", name(m.kind)},
                             {"to", m.to},
-                            {"hired", m.hired},
-                            {"leaves_s", m.leaves_s},
-                            {"back_s", m.back_s},
+                            {"hired", m.provisioned},
+                            {"leaves_s", m.stops_s},
+                            {"back_s", m.restarts_s},
                             {"ends_s", maybe(m.ends_s)},
-                            {"seen", m.seen}});
+                            {"seen", m.observed_completions}});
         }
         out["steps"].push_back({{"machine", s.machine},
                                 {"type", s.type},
@@ -125,21 +125,23 @@
     if (at < p.steps.size()) out["next"] = at;
     if (from > 0) return out;
     out["refusals"] = Json::array();
-    for (const Refusal& r : p.refusals) {
+    for (const Violation& r : p.violations) {
         out["refusals"].push_back({{"job", r.job},
                                    {"task", r.task},
                                    {"machine", r.machine},
-                                   {"why", r.why},
-                                   {"instead", r.instead},
+                                   {"why", r.reason},
+                                   {"instead", r.suggestion},
                                    {"due_s", maybe(r.due_s)},
                                    {"ends_s", maybe(r.ends_s)}});
     }
     out["hires"] = Json::array();
-    for (const Hire& h : p.hires) {
-        out["hires"].push_back(
-            {{"type", h.type}, {"zone", h.zone}, {"count", h.count}, {"price", h.price}});
+    for (const PlannedMachines& request : p.provisioned_machines) {
+        out["hires"].push_back({{"type", request.type},
+                                {"zone", request.zone},
+                                {"count", request.count},
+                                {"price", request.price}});
     }
-    out["passed_over"] = p.passed_over;
+    out["passed_over"] = p.skipped_machines;
     return out;
 }
 
--- a/src/drain/plan.h
+++ b/src/drain/plan.h
@@ -12,7 +12,7 @@
 
 namespace nickelramp::drain {
 
-inline constexpr const char* kPath = "/admin/plans";
+inline constexpr const char* kPlansPath = "/admin/plans";
 
 // Machines by name, or all of a zone, of a type, of both, or all there are.
 struct Request {
@@ -30,19 +30,20 @@
 // saves:    stops, saves and goes on elsewhere; of a gang, all members do
 // runs_out: stays to its end, since what it has done could not be saved
 // ending:   was told to stop already
-enum class How { moves, saves, runs_out, ending };
-const char* name(How h);
+enum class MoveKind { moves_elsewhere, checkpoints_and_moves, runs_to_end, already_stopping };
+const char* name(MoveKind h);
 
 // Seconds from the plan's beginning.
 struct Move {
     std::string job;
     std::uint32_t task = 0;
-    How how = How::moves;
+    MoveKind kind = MoveKind::moves_elsewhere;
     std::string to;  // a machine; a type and zone if one must be hired; empty: it stays, or nowhere
-    bool hired = false;
-    double leaves_s = 0, back_s = 0;
+    bool provisioned = false;
+    double stops_s = 0, restarts_s = 0;
     std::optional<double> ends_s;  // replicas do not
-    std::size_t seen = 0;          // completed tasks of its class that the run time is taken from
+    std::size_t observed_completions =
+        0;  // completed tasks of its class that the run time is taken from
 };
 
 struct Step {
@@ -52,14 +53,14 @@
     std::vector<Move> moves;
 };
 
-struct Refusal {
+struct Violation {
     std::string job;
     std::uint32_t task = 0;
-    std::string machine, why, instead;
+    std::string machine, reason, suggestion;
     std::optional<double> due_s, ends_s;
 };
 
-struct Hire {
+struct PlannedMachines {
     std::string type, zone;
     std::uint32_t count = 0;
     double price = 0;  // an hour, each
@@ -73,9 +74,9 @@
     Request request;
     PlanState state = PlanState::planning;
     std::vector<Step> steps;
-    std::vector<std::string> passed_over;  // and why
-    std::vector<Refusal> refusals;
-    std::vector<Hire> hires;
+    std::vector<std::string> skipped_machines;  // and why
+    std::vector<Violation> violations;
+    std::vector<PlannedMachines> provisioned_machines;
     double empty_s = 0;
     double cost = 0;  // of what is hired while what it takes the place of is still there
 };
--- a/src/drain/planner.h
+++ b/src/drain/planner.h
@@ -9,25 +9,30 @@
 #include <utility>
 #include <vector>
 
-#include "book/book.h"
-#include "domains/silence.h"
+#include "cloud/machine_kind.h"
+#include "cluster/cluster_state.h"
 #include "drain/plan.h"
-#include "fleet/kind.h"
-#include "outlook/outlook.h"
-#include "schedule/rules.h"
+#include "failure/failure_detector.h"
+#include "forecast/demand_forecast.h"
+#include "scheduling/placement_rules.h"
 
 namespace nickelramp::drain {
 
 class Planner {
   public:
     // different: the id stands for another request; full: too many are being made
-    enum class Taken { fresh, known, different, full };
+    enum class RequestResult { accepted, already_known, id_conflict, too_many };
 
-    Planner(const book::Term& term, book::Book& book, const outlook::Outlook& outlook,
-            const schedule::Rules& rules, const domains::Silence& silence)
-        : term_(term), book_(book), outlook_(outlook), rules_(rules), silence_(silence) {}
+    Planner(const cluster::TermContext& term, cluster::ClusterState& cluster,
+            const forecast::DemandForecast& forecast, const scheduling::PlacementRules& rules,
+            const failure::FailureDetector& failure_detector)
+        : term_(term),
+          cluster_(cluster),
+          forecast_(forecast),
+          rules_(rules),
+          failure_detector_(failure_detector) {}
 
-    Taken ask(const Request& request);
+    RequestResult request_plan(const Request& request);
     // A part of the oldest unfinished plan; how many tasks it has looked at.
     std::size_t advance(Millis now);
     const Plan* find(const std::string& id) const;
@@ -36,24 +41,24 @@
   private:
     using Attempt = jobs::Attempt;
     using Job = jobs::Job;
-    using Machine = workers::Machine;
+    using Machine = machines::Machine;
     // Hired for the plan: what is still free on it.
-    struct Bin {
-        fleet::Kind kind;
-        placing::Need free;
-        double up_s = 0;  // boots until then
+    struct VirtualMachine {
+        cloud::MachineKind kind;
+        placement::Need free;
+        double boots_until_s = 0;  // boots until then
         std::uint32_t wave = 0;
         std::vector<Index> images;
     };
-    struct Place {
+    struct Placement {
         bool found = false;
         Machine* machine = nullptr;  // null: on a bin
-        std::size_t bin = 0;
+        std::size_t virtual_machine = 0;
         double ready_s = 0;  // when the task would run there
         double boot_s = 0;   // of that, the wait for a boot
     };
     // Where the tasks of a job are, with what the plan has done to them.
-    struct Spread {
+    struct ZoneSpread {
         std::vector<std::uint32_t> by_zone;
         Index stays_in = kNone;  // one_zone: where those are that do not leave
     };
@@ -65,29 +70,31 @@
         std::uint32_t in_wave = 0;
         std::vector<double> wave_from_s{0}, wave_empty_s{0};
         std::set<Index> leaving;
-        std::unordered_map<Index, placing::Need> taken;  // of other machines, by the plan
-        std::vector<Bin> bins;
-        std::unordered_map<std::string, Spread> spread;  // by job
+        std::unordered_map<Index, placement::Need> occupied;  // of other machines, by the plan
+        std::vector<VirtualMachine> virtual_machines;
+        std::unordered_map<std::string, ZoneSpread> spread;  // by job
     };
-    void choose(Draft& d);
-    std::size_t look_at(Draft& d, Machine& m, Millis now);
-    Move leave(Draft& d, const Step& step, Attempt& a, const Machine& m, Millis now);
-    Spread& spread_of(Draft& d, const Job& j);
-    bool zone_ok(Draft& d, const Job& j, Index zone);
-    Place place_for(Draft& d, const Job& j, double at_s, Millis now);
-    Place on_bin(const Draft& d, const Job& j, std::size_t bin, double at_s) const;
-    Place hire_for(Draft& d, const Job& j, double at_s);
-    void take(Draft& d, const Job& j, const Place& p);
-    static void refuse(Draft& d, Refusal r);
-    void check(Draft& d, const Move& move, const Place& place, const Job& j, const Machine& m,
-               double undisturbed_s, Millis now);
-    void finish(Draft& d);
+    void choose_machines(Draft& draft);
+    std::size_t plan_machine(Draft& draft, Machine& machine, Millis now);
+    Move plan_move(Draft& draft, const Step& step, Attempt& attempt, const Machine& machine,
+                   Millis now);
+    ZoneSpread& spread_of(Draft& draft, const Job& job);
+    bool zone_allowed(Draft& draft, const Job& job, Index zone);
+    Placement find_placement(Draft& draft, const Job& job, double at_s, Millis now);
+    Placement placement_on_virtual_machine(const Draft& draft, const Job& job, std::size_t bin,
+                                           double at_s) const;
+    Placement provision_for(Draft& draft, const Job& job, double at_s);
+    void occupy(Draft& draft, const Job& job, const Placement& placement);
+    static void add_violation(Draft& draft, Violation r);
+    void check_objectives(Draft& draft, const Move& move, const Placement& place, const Job& job,
+                          const Machine& machine, double undisturbed_s, Millis now);
+    void finish(Draft& draft);
 
-    const book::Term& term_;
-    book::Book& book_;
-    const outlook::Outlook& outlook_;
-    const schedule::Rules& rules_;
-    const domains::Silence& silence_;
+    const cluster::TermContext& term_;
+    cluster::ClusterState& cluster_;
+    const forecast::DemandForecast& forecast_;
+    const scheduling::PlacementRules& rules_;
+    const failure::FailureDetector& failure_detector_;
     std::deque<std::unique_ptr<Draft>> drafts_;  // oldest first
 };
 
--- a/src/drain/desk.cpp
+++ b/src/drain/request_handler.cpp
@@ -1,10 +1,10 @@
-#include "drain/desk.h"
+#include "drain/request_handler.h"
 
 #include <spdlog/spdlog.h>
 
 #include <charconv>
 
-#include "admin/answer.h"
+#include "admin/json_response.h"
 
 namespace nickelramp::drain {
 
@@ -20,29 +20,29 @@
     std::string field;
     auto request = parse_request(Json::parse(q.body, nullptr, false), field);
     if (!request) return json(400, {{"error", "missing or invalid"}, {"field", field}});
-    switch (planner.ask(*request)) {
-        case Planner::Taken::fresh:
+    switch (planner.request_plan(*request)) {
+        case Planner::RequestResult::accepted:
             spdlog::info("drain plan {} is asked for", request->id);
             return json(201, plan_json(*planner.find(request->id)));
-        case Planner::Taken::known:
+        case Planner::RequestResult::already_known:
             return json(200, plan_json(*planner.find(request->id)));
-        case Planner::Taken::different:
+        case Planner::RequestResult::id_conflict:
             return json(409, {{"error", "the id stands for another plan"}, {"field", "id"}});
-        case Planner::Taken::full:
+        case Planner::RequestResult::too_many:
             break;
     }
     return json(503, {{"error", "too many plans are being made"}}, kPlansSoonS);
 }
 }  // namespace
 
-bool handles(const net::Request& q) {
-    const std::string base = kPath;
+bool handles_request(const net::Request& q) {
+    const std::string base = kPlansPath;
     return q.path == base || q.path.rfind(base + "/", 0) == 0;
 }
 
-Response answer(const net::Request& q, Planner* planner) {
-    if (!handles(q)) return json(404, {{"error", "no such path"}});
-    const std::string base = kPath;
+Response answer_request(const net::Request& q, Planner* planner) {
+    if (!handles_request(q)) return json(404, {{"error", "no such path"}});
+    const std::string base = kPlansPath;
     const bool one = q.path != base;
     if (q.method != "GET" && (one || q.method != "POST")) {
         return json(405, {{"error", one ? "use GET" : "use GET or POST"}});
--- a/src/drain/desk.h
+++ b/src/drain/request_handler.h
@@ -6,7 +6,7 @@
 
 namespace nickelramp::drain {
 
-bool handles(const net::Request& request);
-net::Response answer(const net::Request& request, Planner* planner);
+bool handles_request(const net::Request& request);
+net::Response answer_request(const net::Request& request, Planner* planner);
 
 }  // namespace nickelramp::drain
--- a/src/dispatch/answer.h
+++ b/src/machines/heartbeat_reply.h
@@ -6,13 +6,13 @@
 
 #include "wire/messages.h"
 
-namespace nickelramp::dispatch {
+namespace nickelramp::machines {
 
-struct CheckinAnswer {
+struct HeartbeatReply {
     int status = 200;    // 200, 421, 503
     std::string holder;  // with 421: who answers for the machine
     std::uint64_t token = 0;
     std::vector<wire::Command> commands;
 };
 
-}  // namespace nickelramp::dispatch
+}  // namespace nickelramp::machines
--- a/src/workers/enrolment.h
+++ b/src/machines/worker_capacity.h
@@ -4,12 +4,12 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace nickelramp::workers {
+namespace nickelramp::machines {
 
-struct Enrolment {
-    std::size_t most_machines = SIZE_MAX;
+struct WorkerCapacity {
+    std::size_t max_machines = SIZE_MAX;
     // A controller has been out of sockets lately: that a worker is not heard proves nothing.
-    bool refused = false;
+    bool sockets_exhausted = false;
 };
 
-}  // namespace nickelramp::workers
+}  // namespace nickelramp::machines
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -41,10 +41,10 @@
     // Called now and then by the client.
     void check(Millis now) {
         if (fail_soon_ || (state_ == State::connecting && now >= connect_deadline_)) {
-            finish_failed(Reply::Outcome::refused);
+            finish_failed(ClientReply::Outcome::refused);
         } else if ((state_ == State::connecting || state_ == State::waiting) && now >= deadline_) {
-            finish_failed(state_ == State::connecting ? Reply::Outcome::refused
-                                                      : Reply::Outcome::unknown);
+            finish_failed(state_ == State::connecting ? ClientReply::Outcome::refused
+                                                      : ClientReply::Outcome::unknown);
         }
     }
 
@@ -57,13 +57,13 @@
     void on_bytes(const char* data, ssize_t n) {
         if (state_ == State::idle) {  // closed by the server, or talking out of turn
             close();
-            client_->drop(this);
+            client_->remove_connection(this);
             return;
         }
         if (n < 0) {
             http_parser_execute(&parser_, &settings(), nullptr, 0);
             if (!complete_) {
-                finish_failed(Reply::Outcome::unknown);
+                finish_failed(ClientReply::Outcome::unknown);
                 return;
             }
         } else {
@@ -71,7 +71,7 @@
                 http_parser_execute(&parser_, &settings(), data, static_cast<std::size_t>(n));
             if (!complete_ &&
                 (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || used != static_cast<std::size_t>(n))) {
-                finish_failed(Reply::Outcome::unknown);
+                finish_failed(ClientReply::Outcome::unknown);
                 return;
             }
         }
@@ -79,14 +79,14 @@
     }
 
   private:
-    void set_state(State s) { state_ = s; }
+    void set_state(State state) { state_ = state; }
 
     void take(HttpClient::Pending p) {
         bytes_ = std::move(p.bytes);
         deadline_ = p.deadline;
-        done_ = std::move(p.done);
-        may_ = std::move(p.may);
-        reply_ = Reply{};
+        done_ = std::move(p.on_reply);
+        may_ = std::move(p.may_send);
+        reply_ = ClientReply{};
         complete_ = in_value_ = false;
         header_.clear();
         http_parser_init(&parser_, HTTP_RESPONSE);
@@ -96,7 +96,7 @@
     void connected(int status) {
         if (state_ != State::connecting) return;
         if (status < 0) {
-            finish_failed(Reply::Outcome::refused);
+            finish_failed(ClientReply::Outcome::refused);
             return;
         }
         stream_.read(this);
@@ -112,7 +112,7 @@
         const bool sent = stream_.write(weak_from_this(), std::move(bytes_),
                                         [](ClientConnection& c, int status, std::size_t) {
                                             if (status < 0 && c.state_ == State::waiting) {
-                                                c.finish_failed(Reply::Outcome::unknown);
+                                                c.finish_failed(ClientReply::Outcome::unknown);
                                             }
                                         });
         if (!sent) deadline_ = 0;  // fails at the next check
@@ -149,7 +149,7 @@
             };
             s.on_message_complete = [](http_parser* p) {
                 auto* c = static_cast<ClientConnection*>(p->data);
-                c->reply_.outcome = Reply::Outcome::answered;
+                c->reply_.outcome = ClientReply::Outcome::answered;
                 c->reply_.status = static_cast<int>(p->status_code);
                 c->keep_alive_ = http_should_keep_alive(p) != 0;
                 c->complete_ = true;
@@ -162,26 +162,26 @@
 
     void finish_answered(bool reusable) {
         auto done = std::move(done_);
-        Reply reply = std::move(reply_);
+        ClientReply reply = std::move(reply_);
         if (reusable) {
             set_state(State::idle);
         } else {
             close();
-            client_->drop(this);
+            client_->remove_connection(this);
         }
         auto* client = client_;
         done(reply);
-        client->pump();
+        client->send_queued();
     }
 
-    void finish_failed(Reply::Outcome outcome) {
+    void finish_failed(ClientReply::Outcome outcome) {
         auto keep = shared_from_this();
         auto done = std::move(done_);
         close();
-        client_->drop(this);
+        client_->remove_connection(this);
         auto* client = client_;
-        done(Reply{outcome, 0, "", 0});
-        client->pump();
+        done(ClientReply{outcome, 0, "", 0});
+        client->send_queued();
     }
 
     HttpClient* client_;
@@ -192,8 +192,8 @@
     Millis connect_deadline_ = 0;
     bool fail_soon_ = false;
     HttpClient::Done done_;
-    HttpClient::Ask may_;
-    Reply reply_;
+    HttpClient::MaySend may_;
+    ClientReply reply_;
     std::string header_, value_;  // the one that is being read
     bool in_value_ = false;
     bool complete_ = false;
@@ -220,7 +220,7 @@
 }
 
 void HttpClient::request(const char* method, const std::string& target, std::string body,
-                         Millis timeout, Done done, Ask may) {
+                         Millis timeout, Done done, MaySend may) {
     std::string bytes = std::string(method) + " " + target + " HTTP/1.1\r\nHost: " + host_ +
                         "\r\nContent-Length: " + std::to_string(body.size()) +
                         "\r\nContent-Type: application/cbor\r\n\r\n" + body;
@@ -229,15 +229,15 @@
     queue_.push_back({std::move(bytes), deadline, std::move(done), std::move(may)});
     if (!uv_is_active(reinterpret_cast<uv_handle_t*>(timer_))) {
         uv_timer_start(
-            timer_, [](uv_timer_t* t) { static_cast<HttpClient*>(t->data)->expire(); },
+            timer_, [](uv_timer_t* t) { static_cast<HttpClient*>(t->data)->expire_queued(); },
             deadline == 0 ? 0 : kExpiryStep, kExpiryStep);
     }
-    pump();
+    send_queued();
 }
 
-void HttpClient::pump() {
-    if (pumping_) return;
-    pumping_ = true;
+void HttpClient::send_queued() {
+    if (sending_) return;
+    sending_ = true;
     while (!queue_.empty() && queue_.front().deadline > 0) {
         ClientConnection* idle = nullptr;
         for (auto& c : connections_) {
@@ -254,19 +254,19 @@
             c->connect(std::move(next));
         }
     }
-    pumping_ = false;
+    sending_ = false;
 }
 
-void HttpClient::drop(ClientConnection* c) {
+void HttpClient::remove_connection(ClientConnection* c) {
     std::erase_if(connections_, [c](const auto& x) { return x.get() == c; });
 }
 
-void HttpClient::expire() {
+void HttpClient::expire_queued() {
     Millis now = static_cast<Millis>(uv_now(loop_));
     std::vector<Done> refused;
     for (auto it = queue_.begin(); it != queue_.end();) {
         if (now >= it->deadline) {
-            refused.push_back(std::move(it->done));
+            refused.push_back(std::move(it->on_reply));
             it = queue_.erase(it);
         } else {
             ++it;
@@ -274,8 +274,8 @@
     }
     auto open = connections_;
     for (auto& c : open) c->check(now);
-    for (auto& done : refused) done(Reply{Reply::Outcome::refused, 0, "", 0});
-    pump();
+    for (auto& done : refused) done(ClientReply{ClientReply::Outcome::refused, 0, "", 0});
+    send_queued();
     if (idle()) uv_timer_stop(timer_);
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -12,7 +12,7 @@
 
 namespace nickelramp::net {
 
-struct Reply {
+struct ClientReply {
     // `refused`: nothing reached the server. `unknown`: the request may have been, or may yet be,
     // executed.
     enum class Outcome { answered, refused, unknown };
@@ -28,10 +28,10 @@
 
 class HttpClient {
   public:
-    using Done = std::function<void(const Reply&)>;
+    using Done = std::function<void(const ClientReply&)>;
     // Asked right before the bytes go out, however long the request was queued or its connection
     // took; when it says no, nothing is sent and the request is refused.
-    using Ask = std::function<bool()>;
+    using MaySend = std::function<bool()>;
     HttpClient(uv_loop_t* loop, sockaddr_in address, std::string host, std::size_t max_connections,
                std::size_t max_queue);
     ~HttpClient();
@@ -42,19 +42,19 @@
     // Nothing is queued or under way; connections may be open.
     bool idle() const;
     void request(const char* method, const std::string& target, std::string body, Millis timeout,
-                 Done done, Ask may = {});
+                 Done done, MaySend may = {});
 
   private:
     friend class ClientConnection;
     struct Pending {
         std::string bytes;
         Millis deadline;
-        Done done;
-        Ask may;
+        Done on_reply;
+        MaySend may_send;
     };
-    void pump();
-    void drop(ClientConnection* c);
-    void expire();
+    void send_queued();
+    void remove_connection(ClientConnection* c);
+    void expire_queued();
 
     uv_loop_t* loop_;
     sockaddr_in address_;
@@ -64,7 +64,7 @@
     std::deque<Pending> queue_;
     std::vector<std::shared_ptr<ClientConnection>> connections_;
     uv_timer_t* timer_;
-    bool pumping_ = false;
+    bool sending_ = false;
 };
 
 }  // namespace nickelramp::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -28,7 +28,7 @@
 
     void start() {
         last_active_ = uv_now(server_->loop_);
-        if (server_->tells_local_ip_) local_ip_ = stream_.local_ip();
+        if (server_->reports_local_ip_) local_ip_ = stream_.local_ip();
         stream_.read(this);
     }
 
@@ -49,8 +49,8 @@
         set_state(State::reading);
         request_ = Request{};
         // What came before the answer went out follows nothing.
-        request_.follows = r.status == 200 && backlog_.empty();
-        request_.follows_tag = request_.follows ? r.tag : 0;
+        request_.follows_ok_reply = r.status == 200 && backlog_.empty();
+        request_.followed_reply_tag = request_.follows_ok_reply ? r.tag : 0;
         headers_ = 0;
         http_parser_pause(&parser_, 0);
         if (!backlog_.empty()) {
@@ -64,15 +64,15 @@
         if (state_ == State::closing) return;
         set_state(State::closing);
         stream_.close();
-        server_->forget(this);  // may delete this
+        server_->remove_connection(this);  // may delete this
     }
 
     std::uint64_t last_active() const { return last_active_; }
-    Client client() const { return client_; }
+    PeerKind client() const { return client_; }
 
-    bool belongs_to(Client client) {
+    bool belongs_to(PeerKind client) {
         if (client_ == client) return false;
-        server_->recount(client_, client);
+        server_->update_counts(client_, client);
         client_ = client;
         return true;
     }
@@ -96,7 +96,7 @@
     }
 
   private:
-    void set_state(State s) { state_ = s; }
+    void set_state(State state) { state_ = state; }
 
     void write(std::string data, bool last) {
         const bool sent = stream_.write(weak_from_this(), std::move(data),
@@ -189,7 +189,7 @@
     Request request_;
     std::string backlog_;
     std::string local_ip_;
-    Client client_ = Client::other;
+    PeerKind client_ = PeerKind::other;
     std::size_t headers_ = 0;
     int refusal_ = 0;
     bool complete_ = false;
@@ -201,7 +201,7 @@
     if (auto c = connection_.lock()) c->send(response);
 }
 
-bool Responder::belongs_to(Client client) const {
+bool Responder::classify(PeerKind client) const {
     auto c = connection_.lock();
     return c && c->belongs_to(client);
 }
@@ -239,12 +239,12 @@
         return;
     }
     c->start();
-    if (connections_.size() > max_connections_) sweep();
+    if (connections_.size() > max_connections_) close_idle_connections();
     if (connections_.size() > max_connections_) c->close();
 }
 
 // At the limit, the connections that have been idle longest make room.
-void HttpServer::sweep() {
+void HttpServer::close_idle_connections() {
     std::uint64_t now = uv_now(loop_);
     Connection* oldest = nullptr;
     for (auto& [c, keep] : connections_) {
@@ -253,14 +253,14 @@
     if (oldest != nullptr && now - oldest->last_active() > 30'000) oldest->close();
 }
 
-void HttpServer::forget(Connection* c) {
-    recount(c->client(), Client::other);
+void HttpServer::remove_connection(Connection* c) {
+    update_counts(c->client(), PeerKind::other);
     connections_.erase(c);
 }
 
-void HttpServer::recount(Client before, Client after) {
-    if (before == Client::worker) --worker_connections_;
-    if (after == Client::worker) ++worker_connections_;
+void HttpServer::update_counts(PeerKind before, PeerKind after) {
+    if (before == PeerKind::worker) --worker_connections_;
+    if (after == PeerKind::worker) ++worker_connections_;
 }
 
 }  // namespace nickelramp::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -20,9 +20,9 @@
     std::string body;
     // It came after an answer 200 to the one before it on this connection: requests are not
     // pipelined, so that answer has arrived.
-    bool follows = false;
-    std::uint64_t follows_tag = 0;  // of that answer
-    std::string local_ip = "";      // that it came to, where the server was asked to tell
+    bool follows_ok_reply = false;
+    std::uint64_t followed_reply_tag = 0;  // of that answer
+    std::string local_ip = "";             // that it came to, where the server was asked to tell
 };
 
 struct Response {
@@ -38,7 +38,7 @@
 class Connection;
 
 // Who is at the other end, as far as its requests have shown.
-enum class Client { other, worker };
+enum class PeerKind { other, worker };
 
 // Answers one request; may be kept and used later. Answering a closed connection does nothing.
 class Responder {
@@ -48,7 +48,7 @@
     void send(const Response& response) const;
     void operator()(const Response& response) const { send(response); }
     // From now on the connection counts as such a client's. True if it did not before.
-    bool belongs_to(Client client) const;
+    bool classify(PeerKind client) const;
 
   private:
     std::weak_ptr<Connection> connection_;
@@ -64,21 +64,21 @@
 
     int listen(const sockaddr_in& address);  // 0 or a libuv error
     // Requests name the address that they came to. For servers that listen on all addresses.
-    void tell_local_ip() { tells_local_ip_ = true; }
+    void report_local_ip() { reports_local_ip_ = true; }
     std::size_t connections() const { return connections_.size(); }
     std::size_t worker_connections() const { return worker_connections_; }
 
   private:
     friend class Connection;
     void accept();
-    void forget(Connection* c);
-    void recount(Client before, Client after);
-    void sweep();
+    void remove_connection(Connection* c);
+    void update_counts(PeerKind before, PeerKind after);
+    void close_idle_connections();
 
     uv_loop_t* loop_;
     uv_tcp_t* listener_;
     std::size_t max_connections_;
-    bool tells_local_ip_ = false;
+    bool reports_local_ip_ = false;
     std::size_t worker_connections_ = 0;
     Handler handler_;
     std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -4,6 +4,6 @@
 namespace nickelramp::net {
 
 // For connections to the server; the rest is for commands to machines, peers, state service, cloud.
-inline constexpr double kServerPart = 0.8;
+inline constexpr double kServerSocketShare = 0.8;
 
 }  // namespace nickelramp::net
--- a/src/net/timed.h
+++ b/src/net/timed.h
@@ -9,7 +9,7 @@
 namespace nickelramp::net {
 
 template <typename Done>
-auto timed(uv_loop_t* loop, Done done) {
+auto with_time(uv_loop_t* loop, Done done) {
     return [loop, done = std::move(done)](const auto& r) {
         done(static_cast<Millis>(uv_now(loop)), r);
     };
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -4,7 +4,7 @@
 
 std::string frame(std::uint64_t kind, const Writer& message) {
     Writer head;
-    head.number(kVersion);
+    head.number(kProtocolVersion);
     head.number(kind);
     Writer length;
     length.number(head.bytes().size() + message.bytes().size());
@@ -13,31 +13,31 @@
 
 // Also where the stream ends with a whole frame, as it mostly does: it was once kept for as long as
 // the connection lasted.
-void Framer::drop_what_is_read() {
-    buffer_.erase(0, used_);
-    used_ = 0;
+void Framer::discard_consumed() {
+    buffer_.erase(0, consumed_);
+    consumed_ = 0;
 }
 
 std::optional<Framer::Frame> Framer::next() {
     if (broken_) return std::nullopt;
-    std::string_view rest = std::string_view(buffer_).substr(used_);
+    std::string_view rest = std::string_view(buffer_).substr(consumed_);
     Reader length(rest);
     std::uint64_t n = length.number();
     if (!length.good()) {
         broken_ = rest.size() >= 10;  // no length takes so many bytes
-        drop_what_is_read();
+        discard_consumed();
         return std::nullopt;
     }
-    if (n > kMaxFrame) {
+    if (n > kMaxFrameBytes) {
         broken_ = true;
         return std::nullopt;
     }
-    if (length.rest().size() < n) {
-        drop_what_is_read();
+    if (length.remaining().size() < n) {
+        discard_consumed();
         return std::nullopt;
     }
-    std::string_view body = length.rest().substr(0, n);
-    used_ += rest.size() - length.rest().size() + n;
+    std::string_view body = length.remaining().substr(0, n);
+    consumed_ += rest.size() - length.remaining().size() + n;
     Reader in(body);
     Frame f;
     f.version = in.number();
@@ -46,7 +46,7 @@
         broken_ = true;
         return std::nullopt;
     }
-    f.body = std::string(in.rest());
+    f.body = std::string(in.remaining());
     return f;
 }
 
--- a/src/peers/forwarding.cpp
+++ b/src/peers/forwarding.cpp
@@ -25,15 +25,17 @@
     return static_cast<Enum>(number);
 }
 
-void write_report(Writer& w, const wire::Report& report) {
-    for (const std::string* text : {&report.machine, &report.address, &report.type, &report.zone})
+void write_report(Writer& w, const wire::Heartbeat& heartbeat) {
+    for (const std::string* text :
+         {&heartbeat.machine, &heartbeat.address, &heartbeat.type, &heartbeat.zone})
         w.text(*text);
-    w.number(report.spot ? 1 : 0);
-    for (std::uint64_t v : {report.session, report.seq, report.token}) w.number(v);
+    w.number(heartbeat.spot ? 1 : 0);
+    for (std::uint64_t v : {heartbeat.incarnation, heartbeat.sequence, heartbeat.token})
+        w.number(v);
     // 0: no notice; otherwise the milliseconds that are left, plus one.
-    w.number(report.notice_s ? to_millis(*report.notice_s) + 1 : 0);
-    w.number(report.tasks.size());
-    for (const wire::TaskReport& task : report.tasks) {
+    w.number(heartbeat.preemption_notice_s ? to_millis(*heartbeat.preemption_notice_s) + 1 : 0);
+    w.number(heartbeat.tasks.size());
+    for (const wire::TaskReport& task : heartbeat.tasks) {
         w.text(task.job);
         w.number(task.task);
         w.number(task.attempt);
@@ -60,22 +62,24 @@
     return task;
 }
 
-std::optional<wire::Report> read_report(Reader& r) {
-    wire::Report report;
-    for (std::string* text : {&report.machine, &report.address, &report.type, &report.zone})
+std::optional<wire::Heartbeat> read_report(Reader& r) {
+    wire::Heartbeat heartbeat;
+    for (std::string* text :
+         {&heartbeat.machine, &heartbeat.address, &heartbeat.type, &heartbeat.zone})
         *text = r.text();
-    report.spot = r.number() != 0;
-    for (std::uint64_t* v : {&report.session, &report.seq, &report.token}) *v = r.number();
+    heartbeat.spot = r.number() != 0;
+    for (std::uint64_t* v : {&heartbeat.incarnation, &heartbeat.sequence, &heartbeat.token})
+        *v = r.number();
     if (const std::uint64_t notice = r.number(); notice != 0)
-        report.notice_s = to_seconds(notice - 1);
+        heartbeat.preemption_notice_s = to_seconds(notice - 1);
     const std::uint64_t tasks = r.count();
     for (std::uint64_t i = 0; i < tasks; ++i) {
         auto task = read_task(r);
         if (!task) return std::nullopt;
-        report.tasks.push_back(std::move(*task));
+        heartbeat.tasks.push_back(std::move(*task));
     }
-    if (!r.good() || report.machine.empty() || report.session == 0) return std::nullopt;
-    return report;
+    if (!r.good() || heartbeat.machine.empty() || heartbeat.incarnation == 0) return std::nullopt;
+    return heartbeat;
 }
 
 std::optional<wire::Command> read_command(Reader& r) {
@@ -93,64 +97,70 @@
 }
 }  // namespace
 
-Speech encode(const ForwardedReport& m) {
+PeerFrame encode(const ForwardedHeartbeat& message) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v : {m.incarnation, m.number, m.term, m.leader_incarnation,
-                            m.leader_clock_ms, m.since_ms, std::uint64_t{m.follows}}) {
+    w.text(message.from);
+    for (std::uint64_t v :
+         {message.incarnation, message.sequence, message.term, message.leader_incarnation,
+          message.leader_clock_ms, message.since_status_ms, std::uint64_t{message.follows_reply}}) {
         w.number(v);
     }
-    write_report(w, m.report);
-    return {frame(static_cast<std::uint64_t>(Kind::forwarded_report), w)};
+    write_report(w, message.heartbeat);
+    return {frame(static_cast<std::uint64_t>(MessageKind::forwarded_heartbeat), w)};
 }
 
-std::optional<ForwardedReport> read_forwarded_report(std::string_view body) {
+std::optional<ForwardedHeartbeat> decode_forwarded_heartbeat(std::string_view body) {
     Reader r(body);
-    ForwardedReport m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.incarnation, &m.number, &m.term, &m.leader_incarnation,
-                             &m.leader_clock_ms, &m.since_ms}) {
+    ForwardedHeartbeat message;
+    message.from = r.text();
+    for (std::uint64_t* v :
+         {&message.incarnation, &message.sequence, &message.term, &message.leader_incarnation,
+          &message.leader_clock_ms, &message.since_status_ms}) {
         *v = r.number();
     }
-    m.follows = r.number() != 0;
-    auto report = read_report(r);
-    if (!report || m.from.empty() || m.term == 0) return std::nullopt;
-    m.report = std::move(*report);
-    return m;
+    message.follows_reply = r.number() != 0;
+    auto heartbeat = read_report(r);
+    if (!heartbeat || message.from.empty() || message.term == 0) return std::nullopt;
+    message.heartbeat = std::move(*heartbeat);
+    return message;
 }
 
-Speech encode(const ForwardedAnswer& m) {
+PeerFrame encode(const ForwardedReply& message) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v : {m.incarnation, m.number, m.term, m.status}) w.number(v);
-    w.text(m.holder);
-    w.number(m.token);
-    w.number(m.commands.size());
-    for (const wire::Command& command : m.commands) {
+    w.text(message.from);
+    for (std::uint64_t v :
+         {message.incarnation, message.sequence, message.term, message.http_status})
+        w.number(v);
+    w.text(message.holder);
+    w.number(message.token);
+    w.number(message.commands.size());
+    for (const wire::Command& command : message.commands) {
         w.number(static_cast<std::uint64_t>(command.op));
         w.text(command.job);
         w.number(command.task);
         w.number(command.attempt);
         w.number(to_millis(command.grace_s));
     }
-    return {frame(static_cast<std::uint64_t>(Kind::forwarded_answer), w)};
+    return {frame(static_cast<std::uint64_t>(MessageKind::forwarded_reply), w)};
 }
 
-std::optional<ForwardedAnswer> read_forwarded_answer(std::string_view body) {
+std::optional<ForwardedReply> decode_forwarded_reply(std::string_view body) {
     Reader r(body);
-    ForwardedAnswer m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.incarnation, &m.number, &m.term, &m.status}) *v = r.number();
-    m.holder = r.text();
-    m.token = r.number();
+    ForwardedReply message;
+    message.from = r.text();
+    for (std::uint64_t* v :
+         {&message.incarnation, &message.sequence, &message.term, &message.http_status})
+        *v = r.number();
+    message.holder = r.text();
+    message.token = r.number();
     const std::uint64_t commands = r.count();
     for (std::uint64_t i = 0; i < commands; ++i) {
         auto command = read_command(r);
         if (!command) return std::nullopt;
-        m.commands.push_back(std::move(*command));
+        message.commands.push_back(std::move(*command));
     }
-    if (!r.good() || m.from.empty()) return std::nullopt;
-    return m;
+    if (!r.good() || message.from.empty()) return std::nullopt;
+    return message;
 }
 
 }  // namespace nickelramp::peers
--- a/src/peers/messages.cpp
+++ b/src/peers/messages.cpp
@@ -2,32 +2,34 @@
 
 namespace nickelramp::peers {
 
-Speech encode(const Status& m) {
+PeerFrame encode(const Status& status) {
     Writer w;
-    w.text(m.from);
-    w.number(m.incarnation);
-    w.number(m.clock_ms);
-    w.number(m.term);
-    w.number(m.state_age_ms);
-    w.number(m.progress.size());
-    for (const auto& p : m.progress) {
+    w.text(status.from);
+    w.number(status.incarnation);
+    w.number(status.clock_ms);
+    w.number(status.term);
+    w.number(status.state_age_ms);
+    w.number(status.progress.size());
+    for (const auto& p : status.progress) {
         w.text(p.id);
         w.number(p.done);
         w.number(p.running);
     }
-    for (std::uint64_t v : {m.leave_term, m.leave_clock_ms, m.answered_age_ms, m.confirms})
+    for (std::uint64_t v : {status.delegation_term, status.delegation_clock_ms,
+                            status.last_reply_age_ms, status.confirms_cancellations})
         w.number(v);
-    w.number(m.lost.size());
-    for (const auto& l : m.lost) {
+    w.number(status.lost_zones.size());
+    for (const auto& l : status.lost_zones) {
         w.text(l.zone);
         w.number(l.age_ms);
     }
-    for (std::uint64_t v : {m.hold, m.reports_term, m.sockets, m.worker_sockets, m.most_sockets})
+    for (std::uint64_t v : {status.lease_id, status.heartbeat_term, status.sockets,
+                            status.worker_sockets, status.max_sockets})
         w.number(v);
-    return {frame(static_cast<std::uint64_t>(Kind::status), w)};
+    return {frame(static_cast<std::uint64_t>(MessageKind::status), w)};
 }
 
-std::optional<Status> read_status(std::string_view body) {
+std::optional<Status> decode_status(std::string_view body) {
     Reader r(body);
     Status m;
     m.from = r.text();
@@ -43,19 +45,20 @@
         m.progress.push_back(std::move(p));
     }
     if (!r.good() || m.from.empty()) return std::nullopt;
-    if (!r.rest().empty()) {  // earlier versions end here
-        for (std::uint64_t* v :
-             {&m.leave_term, &m.leave_clock_ms, &m.answered_age_ms, &m.confirms}) {
+    if (!r.remaining().empty()) {  // earlier versions end here
+        for (std::uint64_t* v : {&m.delegation_term, &m.delegation_clock_ms, &m.last_reply_age_ms,
+                                 &m.confirms_cancellations}) {
             *v = r.number();
         }
         for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
             std::string zone = r.text();
-            m.lost.push_back({std::move(zone), r.number()});
+            m.lost_zones.push_back({std::move(zone), r.number()});
         }
-        if (r.good() && !r.rest().empty()) m.hold = r.number();  // and those before helpers here
-        if (r.good() && !r.rest().empty()) {                     // those before forwarding here
+        if (r.good() && !r.remaining().empty())
+            m.lease_id = r.number();               // and those before helpers here
+        if (r.good() && !r.remaining().empty()) {  // those before forwarding here
             for (std::uint64_t* v :
-                 {&m.reports_term, &m.sockets, &m.worker_sockets, &m.most_sockets})
+                 {&m.heartbeat_term, &m.sockets, &m.worker_sockets, &m.max_sockets})
                 *v = r.number();
         }
         if (!r.good()) return std::nullopt;
@@ -63,182 +66,195 @@
     return m;
 }
 
-Order encode(const Grant& m) {
+LeaderFrame encode(const ShardGrant& grant) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v : {m.term, m.term_version, m.block, m.block_version, m.token,
-                            m.incarnation, m.asked_ms, m.lease_ms, m.view_age_ms}) {
+    w.text(grant.from);
+    for (std::uint64_t v :
+         {grant.term, grant.term_version, grant.shard, grant.shard_version, grant.token,
+          grant.incarnation, grant.status_clock_ms, grant.lease_ms, grant.view_age_ms}) {
         w.number(v);
     }
-    w.number(m.machines.size());
-    for (const auto& b : m.machines) {
-        w.text(b.name);
-        w.text(b.address);
-        w.text(b.type);
-        w.text(b.zone);
-        w.number(b.spot ? 1 : 0);
+    w.number(grant.machines.size());
+    for (const auto& member : grant.machines) {
+        w.text(member.name);
+        w.text(member.address);
+        w.text(member.type);
+        w.text(member.zone);
+        w.number(member.spot ? 1 : 0);
     }
-    w.number(m.jobs.size());
-    for (const auto& j : m.jobs) {
-        w.text(j.id);
-        w.number(j.cancelled);
+    w.number(grant.jobs.size());
+    for (const auto& job : grant.jobs) {
+        w.text(job.id);
+        w.number(job.cancelled);
     }
-    return {frame(static_cast<std::uint64_t>(Kind::grant), w)};
+    return {frame(static_cast<std::uint64_t>(MessageKind::shard_grant), w)};
 }
 
-std::optional<Grant> read_grant(std::string_view body) {
+std::optional<ShardGrant> decode_shard_grant(std::string_view body) {
     Reader r(body);
-    Grant m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.term, &m.term_version, &m.block, &m.block_version, &m.token,
-                             &m.incarnation, &m.asked_ms, &m.lease_ms, &m.view_age_ms}) {
+    ShardGrant grant;
+    grant.from = r.text();
+    for (std::uint64_t* v :
+         {&grant.term, &grant.term_version, &grant.shard, &grant.shard_version, &grant.token,
+          &grant.incarnation, &grant.status_clock_ms, &grant.lease_ms, &grant.view_age_ms}) {
         *v = r.number();
     }
     for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        blocks::Member b;
-        b.name = r.text();
-        b.address = r.text();
-        b.type = r.text();
-        b.zone = r.text();
-        b.spot = r.number() != 0;
-        m.machines.push_back(std::move(b));
+        shards::ShardMember member;
+        member.name = r.text();
+        member.address = r.text();
+        member.type = r.text();
+        member.zone = r.text();
+        member.spot = r.number() != 0;
+        grant.machines.push_back(std::move(member));
     }
     for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        Grant::Job j;
-        j.id = r.text();
-        j.cancelled = r.number();
-        m.jobs.push_back(std::move(j));
+        ShardGrant::Job job;
+        job.id = r.text();
+        job.cancelled = r.number();
+        grant.jobs.push_back(std::move(job));
     }
-    if (!r.good() || m.from.empty() || m.token == 0) return std::nullopt;
-    return m;
+    if (!r.good() || grant.from.empty() || grant.token == 0) return std::nullopt;
+    return grant;
 }
 
-Speech encode(const News& m) {
+PeerFrame encode(const ShardStatus& shard_status) {
     Writer w;
-    w.text(m.from);
-    w.number(m.term);
-    w.number(m.token);
-    w.number(m.jobs.size());
-    for (const auto& j : m.jobs) {
-        w.text(j.id);
-        w.number(j.done);
-        w.number(j.running);
-        w.number(j.over);
-    }
-    w.number(m.troubled.size());
-    for (const auto& t : m.troubled) w.text(t);
-    return {frame(static_cast<std::uint64_t>(Kind::news), w)};
+    w.text(shard_status.from);
+    w.number(shard_status.term);
+    w.number(shard_status.token);
+    w.number(shard_status.jobs.size());
+    for (const auto& job : shard_status.jobs) {
+        w.text(job.id);
+        w.number(job.done);
+        w.number(job.running);
+        w.number(job.finished);
+    }
+    w.number(shard_status.unhealthy_machines.size());
+    for (const auto& t : shard_status.unhealthy_machines) w.text(t);
+    return {frame(static_cast<std::uint64_t>(MessageKind::shard_status), w)};
 }
 
-std::optional<News> read_news(std::string_view body) {
+std::optional<ShardStatus> decode_shard_status(std::string_view body) {
     Reader r(body);
-    News m;
-    m.from = r.text();
-    m.term = r.number();
-    m.token = r.number();
+    ShardStatus shard_status;
+    shard_status.from = r.text();
+    shard_status.term = r.number();
+    shard_status.token = r.number();
     for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        News::Job j;
-        j.id = r.text();
-        j.done = r.number();
-        j.running = r.number();
-        j.over = r.number();
-        m.jobs.push_back(std::move(j));
-    }
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) m.troubled.push_back(r.text());
-    if (!r.good() || m.from.empty()) return std::nullopt;
-    return m;
+        ShardStatus::Job job;
+        job.id = r.text();
+        job.done = r.number();
+        job.running = r.number();
+        job.finished = r.number();
+        shard_status.jobs.push_back(std::move(job));
+    }
+    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n)
+        shard_status.unhealthy_machines.push_back(r.text());
+    if (!r.good() || shard_status.from.empty()) return std::nullopt;
+    return shard_status;
 }
 
-Order encode(const Leave& m) {
+LeaderFrame encode(const HeartbeatDelegation& delegation) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v :
-         {m.term, m.incarnation, m.asked_ms, m.view_age_ms, m.clock_ms, m.answer_ms, m.highest}) {
+    w.text(delegation.from);
+    for (std::uint64_t v : {delegation.term, delegation.incarnation, delegation.status_clock_ms,
+                            delegation.view_age_ms, delegation.clock_ms,
+                            delegation.response_window_ms, delegation.highest_token}) {
         w.number(v);
     }
-    w.number(m.lent.size());
-    for (std::uint64_t token : m.lent) w.number(token);
-    return {frame(static_cast<std::uint64_t>(Kind::leave), w)};
+    w.number(delegation.delegated_tokens.size());
+    for (std::uint64_t token : delegation.delegated_tokens) w.number(token);
+    return {frame(static_cast<std::uint64_t>(MessageKind::heartbeat_delegation), w)};
 }
 
-std::optional<Leave> read_leave(std::string_view body) {
+std::optional<HeartbeatDelegation> decode_heartbeat_delegation(std::string_view body) {
     Reader r(body);
-    Leave m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.term, &m.incarnation, &m.asked_ms, &m.view_age_ms, &m.clock_ms,
-                             &m.answer_ms, &m.highest}) {
+    HeartbeatDelegation delegation;
+    delegation.from = r.text();
+    for (std::uint64_t* v : {&delegation.term, &delegation.incarnation, &delegation.status_clock_ms,
+                             &delegation.view_age_ms, &delegation.clock_ms,
+                             &delegation.response_window_ms, &delegation.highest_token}) {
         *v = r.number();
     }
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) m.lent.push_back(r.number());
-    if (!r.good() || m.from.empty() || m.term == 0) return std::nullopt;
-    return m;
+    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n)
+        delegation.delegated_tokens.push_back(r.number());
+    if (!r.good() || delegation.from.empty() || delegation.term == 0) return std::nullopt;
+    return delegation;
 }
 
-Order encode(const Charge& m) {
+LeaderFrame encode(const RoleAssignment& assignment) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v : {m.term, m.incarnation, m.asked_ms, m.lease_ms}) w.number(v);
-    w.number(m.duties.size());
-    for (const auto& d : m.duties) {
-        for (std::uint64_t v : {d.number, d.fence, d.hold}) w.number(v);
+    w.text(assignment.from);
+    for (std::uint64_t v :
+         {assignment.term, assignment.incarnation, assignment.status_clock_ms, assignment.lease_ms})
+        w.number(v);
+    w.number(assignment.roles.size());
+    for (const auto& role : assignment.roles) {
+        for (std::uint64_t v : {role.number, role.fence, role.lease_id}) w.number(v);
     }
-    return {frame(static_cast<std::uint64_t>(Kind::charge), w)};
+    return {frame(static_cast<std::uint64_t>(MessageKind::role_assignment), w)};
 }
 
-std::optional<Charge> read_charge(std::string_view body) {
+std::optional<RoleAssignment> decode_role_assignment(std::string_view body) {
     Reader r(body);
-    Charge m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.term, &m.incarnation, &m.asked_ms, &m.lease_ms}) *v = r.number();
+    RoleAssignment assignment;
+    assignment.from = r.text();
+    for (std::uint64_t* v : {&assignment.term, &assignment.incarnation, &assignment.status_clock_ms,
+                             &assignment.lease_ms})
+        *v = r.number();
     for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) {
-        Charge::Duty d;
-        for (std::uint64_t* v : {&d.number, &d.fence, &d.hold}) *v = r.number();
-        m.duties.push_back(d);
+        RoleAssignment::AssignedRole role;
+        for (std::uint64_t* v : {&role.number, &role.fence, &role.lease_id}) *v = r.number();
+        assignment.roles.push_back(role);
     }
-    if (!r.good() || m.from.empty() || m.term == 0) return std::nullopt;
-    return m;
+    if (!r.good() || assignment.from.empty() || assignment.term == 0) return std::nullopt;
+    return assignment;
 }
 
-Order encode(const Errand& m) {
+LeaderFrame encode(const DelegatedRequest& request) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v : {m.number, m.incarnation, m.duty, m.fence}) w.number(v);
-    for (const std::string* t : {&m.request, &m.type, &m.zone}) w.text(*t);
-    for (std::uint64_t v : {m.spot, m.count}) w.number(v);
-    w.number(m.machines.size());
-    for (const auto& name : m.machines) w.text(name);
-    return {frame(static_cast<std::uint64_t>(Kind::errand), w)};
+    w.text(request.from);
+    for (std::uint64_t v : {request.sequence, request.incarnation, request.role, request.fence})
+        w.number(v);
+    for (const std::string* t : {&request.request, &request.type, &request.zone}) w.text(*t);
+    for (std::uint64_t v : {request.spot, request.count}) w.number(v);
+    w.number(request.machines.size());
+    for (const auto& name : request.machines) w.text(name);
+    return {frame(static_cast<std::uint64_t>(MessageKind::delegated_request), w)};
 }
 
-std::optional<Errand> read_errand(std::string_view body) {
+std::optional<DelegatedRequest> decode_delegated_request(std::string_view body) {
     Reader r(body);
-    Errand m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.number, &m.incarnation, &m.duty, &m.fence}) *v = r.number();
-    for (std::string* t : {&m.request, &m.type, &m.zone}) *t = r.text();
-    for (std::uint64_t* v : {&m.spot, &m.count}) *v = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) m.machines.push_back(r.text());
-    if (!r.good() || m.from.empty() || m.fence == 0) return std::nullopt;
-    return m;
+    DelegatedRequest request;
+    request.from = r.text();
+    for (std::uint64_t* v :
+         {&request.sequence, &request.incarnation, &request.role, &request.fence})
+        *v = r.number();
+    for (std::string* t : {&request.request, &request.type, &request.zone}) *t = r.text();
+    for (std::uint64_t* v : {&request.spot, &request.count}) *v = r.number();
+    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) request.machines.push_back(r.text());
+    if (!r.good() || request.from.empty() || request.fence == 0) return std::nullopt;
+    return request;
 }
 
-Speech encode(const Outcome& m) {
+PeerFrame encode(const DelegatedResult& result) {
     Writer w;
-    w.text(m.from);
-    for (std::uint64_t v : {m.number, m.result}) w.number(v);
-    w.number(m.machines.size());
-    for (const auto& name : m.machines) w.text(name);
-    return {frame(static_cast<std::uint64_t>(Kind::outcome), w)};
+    w.text(result.from);
+    for (std::uint64_t v : {result.sequence, result.result}) w.number(v);
+    w.number(result.machines.size());
+    for (const auto& name : result.machines) w.text(name);
+    return {frame(static_cast<std::uint64_t>(MessageKind::delegated_result), w)};
 }
 
-std::optional<Outcome> read_outcome(std::string_view body) {
+std::optional<DelegatedResult> decode_delegated_result(std::string_view body) {
     Reader r(body);
-    Outcome m;
-    m.from = r.text();
-    for (std::uint64_t* v : {&m.number, &m.result}) *v = r.number();
-    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) m.machines.push_back(r.text());
-    if (!r.good() || m.from.empty()) return std::nullopt;
-    return m;
+    DelegatedResult result;
+    result.from = r.text();
+    for (std::uint64_t* v : {&result.sequence, &result.result}) *v = r.number();
+    for (std::uint64_t n = r.count(); n > 0 && r.good(); --n) result.machines.push_back(r.text());
+    if (!r.good() || result.from.empty()) return std::nullopt;
+    return result;
 }
 
 }  // namespace nickelramp::peers
--- a/src/relay/admission.h
+++ b/src/relay/forward_admission.h
@@ -6,34 +6,34 @@
 #include <optional>
 
 #include "base/time.h"
+#include "machines/worker_channel.h"
 #include "peers/forwarding.h"
-#include "workers/contact.h"
 
 namespace nickelramp::relay {
 
 // stale:      nobody waits for the answer any more
 // other_term: meant for another term or another process
 // future:     its time is after now, which no honest forwarder says
-enum class Refusal { stale, other_term, future };
-inline constexpr std::size_t kRefusals = 3;
-const char* name(Refusal refusal);
+enum class Rejection { stale, other_term, future };
+inline constexpr std::size_t kRejectionCount = 3;
+const char* name(Rejection rejection);
 
-class Admission {
+class ForwardAdmission {
   public:
     // How and when the report arrived; nothing if it is to be dropped unanswered.
-    std::optional<workers::Arrival> admit(const peers::ForwardedReport& forwarded,
-                                          std::uint64_t term, std::uint64_t incarnation,
-                                          Millis now);
+    std::optional<machines::HeartbeatArrival> admit(const peers::ForwardedHeartbeat& forwarded,
+                                                    std::uint64_t term, std::uint64_t incarnation,
+                                                    Millis now);
     std::uint64_t admitted() const { return admitted_; }
-    std::uint64_t refused(Refusal refusal) const {
-        return refused_[static_cast<std::size_t>(refusal)];
+    std::uint64_t rejected(Rejection rejection) const {
+        return rejected_[static_cast<std::size_t>(rejection)];
     }
 
   private:
-    std::optional<workers::Arrival> refuse(Refusal refusal, const std::string& from);
+    std::optional<machines::HeartbeatArrival> reject(Rejection rejection, const std::string& from);
 
     std::uint64_t admitted_ = 0;
-    std::array<std::uint64_t, kRefusals> refused_{};
+    std::array<std::uint64_t, kRejectionCount> rejected_{};
 };
 
 }  // namespace nickelramp::relay
--- a/src/relay/forwarder.h
+++ b/src/relay/heartbeat_forwarder.h
@@ -11,39 +11,39 @@
 #include <unordered_map>
 
 #include "base/time.h"
-#include "dispatch/answer.h"
+#include "machines/heartbeat_reply.h"
 #include "peers/forwarding.h"
 
 namespace nickelramp::relay {
 
 // A worker gives up after 4 s. What is older than this would most likely be dropped by it.
-inline constexpr Millis kReportPatience = 3'500;
+inline constexpr Millis kHeartbeatTimeout = 3'500;
 
-class Forwarder {
+class HeartbeatForwarder {
   public:
     // Called at most once; `term`: of the leader whose answer it is.
-    using Respond = std::function<void(const dispatch::CheckinAnswer&, std::uint64_t term)>;
+    using Respond = std::function<void(const machines::HeartbeatReply&, std::uint64_t term)>;
     // False: the peer cannot be reached or does not keep up.
-    using Send = std::function<bool(const std::string& peer, const peers::Speech&)>;
+    using Send = std::function<bool(const std::string& peer, const peers::PeerFrame&)>;
 
-    Forwarder(std::string name, std::uint64_t incarnation, Send send)
+    HeartbeatForwarder(std::string name, std::uint64_t incarnation, Send send)
         : name_(std::move(name)), incarnation_(incarnation), send_(std::move(send)) {}
 
     // Learns from every peer's status who leads, in which process, and its clock.
-    void heard(const peers::Status& status, Millis now);
+    void on_peer_status(const peers::Status& status, Millis now);
     // The term of the leader that reports can be forwarded to now; 0: there is none.
     std::uint64_t reachable_term(Millis now) const;
 
     // `follows_term`: of the last answer 200 on the worker's connection; 0: none. False: nobody can
     // be asked, and `respond` will not be called.
-    bool forward(const wire::Report& report, std::uint64_t follows_term, Respond respond,
+    bool forward(const wire::Heartbeat& heartbeat, std::uint64_t follows_term, Respond respond,
                  Millis now);
-    void answered(const peers::ForwardedAnswer& answer, Millis now);
+    void on_reply(const peers::ForwardedReply& answer, Millis now);
     // Reports that were not answered in time get 503; their workers try another controller.
     void expire(Millis now);
 
     struct Counters {
-        std::uint64_t forwarded = 0, answered = 0, expired = 0, unmatched = 0, shed = 0;
+        std::uint64_t forwarded = 0, replied = 0, expired = 0, unmatched = 0, shed = 0;
     };
     const Counters& counters() const { return counters_; }
     std::size_t pending() const { return pending_.size(); }
@@ -52,7 +52,7 @@
     struct Leader {
         std::string name;
         std::uint64_t term = 0, incarnation = 0, clock_ms = 0;
-        Millis heard_at = 0;
+        Millis last_status_at = 0;
     };
     struct Pending {
         std::string machine;
@@ -61,8 +61,8 @@
         Respond respond;
     };
     using Table = std::map<std::uint64_t, Pending>;  // by number, so by deadline too
-    void finish(Table::iterator it, const dispatch::CheckinAnswer& answer);
-    void drop_older(const std::string& machine);
+    void finish(Table::iterator it, const machines::HeartbeatReply& reply);
+    void drop_older_heartbeats(const std::string& machine);
 
     const std::string name_;
     const std::uint64_t incarnation_;
--- a/src/relay/authority.h
+++ b/src/relay/responder_tag.h
@@ -6,10 +6,10 @@
 
 namespace nickelramp::relay {
 
-enum class Role : std::uint64_t { leader = 1, holder = 2, deputy = 3 };
+enum class Responder : std::uint64_t { leader = 1, holder = 2, deputy = 3 };
 
 // Never 0, which stands for no answer. `fence`: the term, or a holder's token.
-inline std::uint64_t authority(Role role, std::uint64_t fence) {
+inline std::uint64_t responder_tag(Responder role, std::uint64_t fence) {
     constexpr std::uint64_t kRoleBits = 2;
     return (fence << kRoleBits) | static_cast<std::uint64_t>(role);
 }
--- a/src/duties/errands.h
+++ b/src/roles/delegated_requests.h
@@ -7,32 +7,32 @@
 #include <vector>
 
 #include "base/time.h"
-#include "fleet/hire.h"
+#include "cloud/provision_reply.h"
 #include "peers/messages.h"
 
-namespace nickelramp::duties {
+namespace nickelramp::roles {
 
-class Errands {
+class DelegatedRequests {
   public:
-    using Done = std::function<void(Millis, const fleet::HireReply&)>;
+    using Done = std::function<void(Millis, const cloud::ProvisionReply&)>;
 
     // The number that its outcome will name.
     std::uint64_t add(Millis now, Done done);
-    void on_outcome(const peers::Outcome& m, Millis now);
+    void on_result(const peers::DelegatedResult& result, Millis now);
     // Whatever no outcome came for in time: it may have been done.
     void expire(Millis now);
     // It did not go out.
-    void unsent(std::uint64_t number, Millis now);
+    void on_not_sent(std::uint64_t number, Millis now);
 
   private:
-    struct Open {
+    struct Pending {
         Millis deadline = 0;
         Done done;
     };
-    void settle(std::uint64_t number, const fleet::HireReply& reply, Millis now);
+    void complete(std::uint64_t number, const cloud::ProvisionReply& reply, Millis now);
 
-    std::map<std::uint64_t, Open> open_;
-    std::uint64_t last_ = 0;
+    std::map<std::uint64_t, Pending> pending_;
+    std::uint64_t last_number_ = 0;
 };
 
-}  // namespace nickelramp::duties
+}  // namespace nickelramp::roles
--- /dev/null
+++ b/src/scheduling/placement_rules.cpp
@@ -0,0 +1,123 @@
+#include "scheduling/placement_rules.h"
+
+#include <algorithm>
+
+namespace nickelramp::scheduling {
+
+using jobs::Attempt;
+using jobs::Job;
+using jobs::JobState;
+using machines::Machine;
+using placement::Need;
+
+namespace {
+constexpr std::size_t kMostFound = 300;  // machines of a kind, for one job in one pass
+}  // namespace
+
+bool PlacementRules::allowed(const Job& job, const Machine& machine) const {
+    if (machine.type == kNone || machine.type >= job.allowed_type.size() ||
+        job.allowed_type[machine.type] == 0)
+        return false;
+    if (job.zone != kNone && job.zone != machine.zone) return false;
+    return job.spec.spot || !machine.spot;
+}
+
+std::uint32_t PlacementRules::tasks_within_limit(const Job& job) const {
+    if (term_.is_shard_holder()) return job.spec.tasks;  // the leader has set the room aside
+    const wire::Team& rule = cluster_.team_rule(job.team);
+    const cluster::TeamUsage& used = cluster_.team_usage(job.team);
+    double most = 1e6;
+    // A gang needs its part of the limit whole: what comes free is gathered for one that waits
+    // long, or small tasks would pass it for ever.
+    const Job* gang = cluster_.quota_reserved_for(job.team);
+    placement::Need kept;
+    if (gang != nullptr && gang != &job && job.spec.priority != wire::Priority::production) {
+        kept.cpus = gang->spec.cpus * gang->spec.tasks;
+        kept.gpus = gang->spec.gpus * gang->spec.tasks;
+    }
+    if (rule.cpus_max > 0 && job.spec.cpus > 0) {
+        const double free = rule.cpus_max - used.cpus - kept.cpus;
+        most = std::min(most, (free + placement::kFitTolerance) / job.spec.cpus);
+    }
+    if (rule.gpus_max > 0 && job.spec.gpus > 0) {
+        const double free = rule.gpus_max - used.gpus - kept.gpus;
+        most = std::min(most, (free + placement::kFitTolerance) / job.spec.gpus);
+    }
+    return most <= 0 ? 0 : static_cast<std::uint32_t>(most);
+}
+
+bool PlacementRules::within_limit(const Job& job, std::uint32_t tasks) const {
+    return tasks_within_limit(job) >= tasks;
+}
+
+bool PlacementRules::is_expensive(const Job& job, Index type, bool spot) {
+    return job.spec.shape == wire::Shape::array &&
+           job.relative_cost_of(type, spot) > placement::kExpensiveFactor;
+}
+
+bool PlacementRules::reserved_for_other_work(const Job& job, Index type) const {
+    return job.spec.shape == wire::Shape::array && !job.any_machine_type_allowed &&
+           job.cheapest_type != type && forecast_.required_by_some_work(type);
+}
+
+bool PlacementRules::may_start_on(const Job& job, const Machine& machine, const Need& need,
+                                  Millis now) const {
+    if (!machine.accepts_tasks() || !allowed(job, machine) || now < machine.probation_until)
+        return false;
+    if (machine.reserved_for != kNone && machine.reserved_for != job.index &&
+        now < machine.reserved_until)
+        return false;
+    return placement::fits_within(machine.cpus_free, machine.gpus_free, machine.memory_free, need);
+}
+
+// What gangs leave of a machine that must be paid for anyway costs nothing; replicas move away from
+// it.
+bool PlacementRules::should_avoid(const Job& job, const Machine& machine) const {
+    if (job.is_service())
+        return job.avoids_expensive_machines &&
+               job.relative_cost_of(machine.type, machine.spot) > placement::kExpensiveFactor;
+    if (machine.live_gang_attempts > 0) return false;
+    return reserved_for_other_work(job, machine.type);
+}
+
+bool PlacementRules::reserved_for_replicas(const Job& job, const Machine& machine,
+                                           double kept) const {
+    return job.spec.spot && machine.counts_for_replicas &&
+           forecast_.replica_headroom().free_slots <= kept;
+}
+
+std::vector<Machine*> PlacementRules::fitting_machines(const Job& job, const Need& need,
+                                                       Millis now) const {
+    std::vector<Machine*> out;
+    std::size_t found = 0;
+    cluster_.free_capacity().for_each_candidate(
+        need,
+        [&](const placement::FreeCapacityIndex::MachineKind& kind) {
+            found = 0;
+            return kind.type < job.allowed_type.size() && job.allowed_type[kind.type] != 0 &&
+                   (job.spec.spot || !kind.spot) && (job.zone == kNone || job.zone == kind.zone);
+        },
+        [&](Index i) {
+            Machine* machine = cluster_.machine_by_index(i);
+            // Those that lack memory do not count: behind hundreds of them one with room once
+            // stayed unseen.
+            if (!may_start_on(job, *machine, need, now)) return true;
+            out.push_back(machine);
+            return ++found < kMostFound;
+        });
+    return out;
+}
+
+bool PlacementRules::may_preempt(const Attempt& attempt, const Job& job) const {
+    const Job& victim = cluster_.job_of(attempt);
+    if (victim.index == job.index || victim.state != JobState::open) return false;
+    if (victim.spec.priority < job.spec.priority) return true;
+    if (!job.within_guaranteed_quota || victim.team == job.team || victim.within_guaranteed_quota)
+        return false;
+    const wire::Team& rule = cluster_.team_rule(victim.team);
+    const cluster::TeamUsage& used = cluster_.team_usage(victim.team);
+    return used.gpus > rule.gpus + placement::kFitTolerance ||
+           (rule.gpus <= 0 && used.cpus > rule.cpus);
+}
+
+}  // namespace nickelramp::scheduling
--- a/src/blocks/ledger.h
+++ b/src/shards/shard_lease_table.h
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "state/client.h"
+#include "kvstore/client.h"
 
-namespace nickelramp::blocks {
+namespace nickelramp::shards {
 
-inline constexpr std::size_t kBlockMachines = 32;
+inline constexpr std::size_t kMaxShardMachines = 32;
 inline constexpr int kGrantShift = 12;
 inline constexpr int kTermShift = 32;
 
@@ -24,56 +24,56 @@
 }
 inline std::uint64_t term_of(std::uint64_t token) { return token >> kTermShift; }
 
-struct Member {
+struct ShardMember {
     std::string name, address, type, zone;
     bool spot = false;
 };
 
-struct Block {
+struct Shard {
     std::uint64_t version = 0;  // stamp of its record
     std::string holder;
-    std::uint64_t token = 0;
-    std::vector<Member> members;
+    std::uint64_t fencing_token = 0;
+    std::vector<ShardMember> members;
     bool dirty = false;
-    bool uncertain = false;
-    bool taken_back = false;  // from a holder; that is not on record yet
+    bool write_uncertain = false;
+    bool being_reclaimed = false;  // from a holder; that is not on record yet
 };
 
-std::string block_key(std::uint32_t n);
-bool parse_block_key(const std::string& key, std::uint32_t& n);
-wire::Json block_record(const Block& b);
-std::optional<Block> read_block(const wire::Json& value);
+std::string shard_key(std::uint32_t n);
+bool parse_shard_key(const std::string& key, std::uint32_t& n);
+wire::Json encode_shard(const Shard& shard);
+std::optional<Shard> decode_shard(const wire::Json& value);
 
 // The blocks of one term, the leader its own holder.
-class Ledger {
+class ShardLeaseTable {
   public:
-    void begin(std::uint64_t term, const std::string& holder);
+    void start_term(std::uint64_t term, const std::string& holder);
     // A block found in the state service; it is granted anew under this term's token.
-    void load(std::uint32_t n, Block block);
+    void load_shard(std::uint32_t n, Shard shard);
 
-    void add(const Member& m);
-    void remove(const std::string& name);
+    void add_machine(const ShardMember& member);
+    void remove_machine(const std::string& name);
     // Moves machines into a block of their own for another holder; its number.
-    std::uint32_t lend(const std::vector<std::string>& names, const std::string& holder);
+    std::uint32_t lease_out(const std::vector<std::string>& names, const std::string& holder);
     // The block is this node's again, under a new token.
-    void take_back(std::uint32_t n);
+    void reclaim(std::uint32_t n);
 
     std::uint64_t token_of(const std::string& name) const;  // 0: in no block
     // No token that was granted is higher.
-    std::uint64_t highest() const { return grant_token(term_, grants_); }
+    std::uint64_t highest_granted_token() const { return grant_token(term_, granted_count_); }
 
-    bool dirty() const;
+    bool has_dirty_shards() const;
     // The records to write, at most `limit`; their numbers in `out`.
-    std::vector<std::uint32_t> to_write(std::size_t limit) const;
-    Block& block(std::uint32_t n) { return blocks_[n]; }
-    const std::map<std::uint32_t, Block>& blocks() const { return blocks_; }
+    std::vector<std::uint32_t> dirty_shards(std::size_t limit) const;
+    Shard& shard(std::uint32_t n) { return shards_[n]; }
+    const std::map<std::uint32_t, Shard>& shards() const { return shards_; }
 
   private:
-    std::map<std::uint32_t, Block> blocks_;
-    std::map<std::string, std::uint32_t> home_;
+    std::map<std::uint32_t, Shard> shards_;
+    std::map<std::string, std::uint32_t> shard_of_machine_;
     std::uint64_t term_ = 0;
-    std::uint64_t grants_ = 0;
+    std::uint64_t granted_count_ = 0;
     std::string holder_;
 };
 
-}  // namespace nickelramp::blocks
+}  // namespace nickelramp::shards
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -50,8 +50,8 @@
     return std::nullopt;
 }
 
-bool plain(const Json& v) {
-    if (v.is_structured()) return std::all_of(v.begin(), v.end(), plain);
+bool is_plain_json(const Json& v) {
+    if (v.is_structured()) return std::all_of(v.begin(), v.end(), is_plain_json);
     const bool wrapped =
         v.is_number_integer() && !v.is_number_unsigned() && v.get<std::int64_t>() >= 0;
     return !v.is_binary() && !wrapped;
@@ -71,13 +71,13 @@
     return it == map.end() || it->is_null() ? nullptr : &*it;
 }
 
-std::optional<std::string> text(const Json& map, const char* name) {
+std::optional<std::string> text_field(const Json& map, const char* name) {
     const Json* f = field(map, name);
     if (f == nullptr || !f->is_string()) return std::nullopt;
     return f->get<std::string>();
 }
 
-std::optional<double> amount(const Json& map, const char* name) {
+std::optional<double> amount_field(const Json& map, const char* name) {
     const Json* f = field(map, name);
     if (f == nullptr || !f->is_number()) return std::nullopt;
     double v = f->get<double>();
@@ -85,7 +85,7 @@
     return v;
 }
 
-std::optional<std::uint64_t> count(const Json& map, const char* name) {
+std::optional<std::uint64_t> count_field(const Json& map, const char* name) {
     const Json* f = field(map, name);
     if (f == nullptr || !f->is_number_integer()) return std::nullopt;
     if (f->is_number_unsigned()) return f->get<std::uint64_t>();
@@ -94,7 +94,7 @@
     return static_cast<std::uint64_t>(v);
 }
 
-std::optional<bool> flag(const Json& map, const char* name) {
+std::optional<bool> flag_field(const Json& map, const char* name) {
     const Json* f = field(map, name);
     if (f == nullptr || !f->is_boolean()) return std::nullopt;
     return f->get<bool>();
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -45,17 +45,17 @@
     FieldReader(const Json& body, std::string& error) : body_(body), error_(error) {}
 
     std::string name(const char* f) {
-        auto v = text(body_, f);
+        auto v = text_field(body_, f);
         if (!v || v->empty() || v->size() > kMaxName) return bad(f), std::string();
         return *v;
     }
     double number(const char* f) {
-        auto v = amount(body_, f);
+        auto v = amount_field(body_, f);
         if (!v || *v > kMaxAmount) return bad(f), 0.0;
         return *v;
     }
     bool boolean(const char* f) {
-        auto v = flag(body_, f);
+        auto v = flag_field(body_, f);
         if (!v) return bad(f), false;
         return *v;
     }
@@ -70,15 +70,16 @@
 
 Json command_list(const std::vector<Command>& commands) {
     Json list = Json::array();
-    for (const Command& c : commands) {
-        Json item = {{"leg", c.job + "/" + std::to_string(c.task)}, {"try", c.attempt}};
-        switch (c.op) {
+    for (const Command& command : commands) {
+        Json item = {{"leg", command.job + "/" + std::to_string(command.task)},
+                     {"try", command.attempt}};
+        switch (command.op) {
             case Command::Op::start:
                 item["verb"] = "start";
                 break;
             case Command::Op::stop:
                 item["verb"] = "stop";
-                item["wind_down_s"] = c.grace_s;
+                item["wind_down_s"] = command.grace_s;
                 break;
             case Command::Op::forget:
                 item["verb"] = "forget";
@@ -104,17 +105,17 @@
     if (!valid_job_id(j.id)) in.bad("id");
     j.job_class = in.name("jobclass");
     j.team = in.name("crew");
-    auto shape = pick<Shape>(kShapes, text(body, "shape").value_or(""));
+    auto shape = pick<Shape>(kShapes, text_field(body, "shape").value_or(""));
     if (shape)
         j.shape = *shape;
     else
         in.bad("shape");
-    auto priority = pick<Priority>(kPriorities, text(body, "urgency").value_or(""));
+    auto priority = pick<Priority>(kPriorities, text_field(body, "urgency").value_or(""));
     if (priority)
         j.priority = *priority;
     else
         in.bad("urgency");
-    auto tasks = count(body, "legs");
+    auto tasks = count_field(body, "legs");
     if (tasks && *tasks >= 1 && *tasks <= kMaxTasks)
         j.tasks = static_cast<std::uint32_t>(*tasks);
     else
@@ -149,13 +150,13 @@
     return j;
 }
 
-Json job_answer(const std::string& id, JobStatus status) {
+Json encode_job_answer(const std::string& id, JobStatus status) {
     return {{"id", id}, {"status", kStatuses[static_cast<std::size_t>(status)]}};
 }
 
-Json job_answer(const std::string& id, JobStatus status, std::uint64_t done,
-                std::uint64_t running) {
-    Json out = job_answer(id, status);
+Json encode_job_answer(const std::string& id, JobStatus status, std::uint64_t done,
+                       std::uint64_t running) {
+    Json out = encode_job_answer(id, status);
     out["done"] = done;
     out["running"] = running;
     return out;
@@ -164,141 +165,142 @@
 const char* final_name(JobStatus status) { return kStatuses[static_cast<std::size_t>(status)]; }
 const char* name(ExitCause c) { return kCauses[static_cast<std::size_t>(c)]; }
 
-std::optional<Report> parse_report(const Json& body) {
-    Report r;
-    auto machine = text(body, "host");
-    auto session = count(body, "shift");
-    auto seq = count(body, "tick");
-    auto token = count(body, "baton");
+std::optional<Heartbeat> decode_heartbeat(const Json& body) {
+    Heartbeat heartbeat;
+    auto machine = text_field(body, "host");
+    auto session = count_field(body, "shift");
+    auto seq = count_field(body, "tick");
+    auto token = count_field(body, "baton");
     const Json* tasks = field(body, "legs");
     if (!machine || machine->empty() || !session || *session == 0 || !seq || !token)
         return std::nullopt;
     if (tasks != nullptr && !tasks->is_array()) return std::nullopt;
-    r.machine = *machine;
-    r.address = text(body, "address").value_or("");
-    r.type = text(body, "rig").value_or("");
-    r.zone = text(body, "yard").value_or("");
-    r.spot = flag(body, "standby").value_or(false);
-    r.session = *session;
-    r.seq = *seq;
-    r.token = *token;
-    r.notice_s = amount(body, "warning_s");
-    if (tasks == nullptr) return r;
-    r.tasks.reserve(tasks->size());
+    heartbeat.machine = *machine;
+    heartbeat.address = text_field(body, "address").value_or("");
+    heartbeat.type = text_field(body, "rig").value_or("");
+    heartbeat.zone = text_field(body, "yard").value_or("");
+    heartbeat.spot = flag_field(body, "standby").value_or(false);
+    heartbeat.incarnation = *session;
+    heartbeat.sequence = *seq;
+    heartbeat.token = *token;
+    heartbeat.preemption_notice_s = amount_field(body, "warning_s");
+    if (tasks == nullptr) return heartbeat;
+    heartbeat.tasks.reserve(tasks->size());
     for (const Json& t : *tasks) {
         TaskReport item;
-        auto attempt = count(t, "try");
-        auto phase = pick<TaskPhase>(kPhases, text(t, "status").value_or(""));
+        auto attempt = count_field(t, "try");
+        auto phase = pick<TaskPhase>(kPhases, text_field(t, "status").value_or(""));
         if (!attempt || *attempt > UINT32_MAX || !phase) return std::nullopt;
-        if (!split_task(text(t, "leg").value_or(""), item.job, item.task)) return std::nullopt;
+        if (!split_task(text_field(t, "leg").value_or(""), item.job, item.task))
+            return std::nullopt;
         item.attempt = static_cast<std::uint32_t>(*attempt);
         item.phase = *phase;
         if (item.phase == TaskPhase::exited) {
-            auto cause = pick<ExitCause>(kCauses, text(t, "cause").value_or(""));
+            auto cause = pick<ExitCause>(kCauses, text_field(t, "cause").value_or(""));
             if (!cause) return std::nullopt;
             item.cause = *cause;
         }
-        item.saved = flag(t, "kept").value_or(false);
-        r.tasks.push_back(std::move(item));
+        item.saved = flag_field(t, "kept").value_or(false);
+        heartbeat.tasks.push_back(std::move(item));
     }
-    return r;
+    return heartbeat;
 }
 
-std::string report_answer(std::uint64_t token, const std::vector<Command>& commands) {
+std::string encode_heartbeat_reply(std::uint64_t token, const std::vector<Command>& commands) {
     return encode({{"baton", token}, {"orders", command_list(commands)}});
 }
 
-std::string direct_commands(std::uint64_t token, std::uint64_t session,
-                            const std::vector<Command>& commands) {
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t session,
+                                   const std::vector<Command>& commands) {
     return encode({{"baton", token}, {"shift", session}, {"orders", command_list(commands)}});
 }
 
-std::string redirect(const std::string& node) {
+std::string encode_redirect(const std::string& node) {
     return encode(node.empty() ? Json::object() : Json{{"boss", node}});
 }
 
-std::optional<std::vector<MachineType>> parse_types(const Json& body) {
+std::optional<std::vector<MachineType>> decode_machine_types(const Json& body) {
     const Json* list = field(body, "rigs");
     if (list == nullptr || !list->is_array()) return std::nullopt;
     std::vector<MachineType> out;
     for (const Json& item : *list) {
-        MachineType t;
-        auto name = text(item, "name");
-        auto cpus = amount(item, "cores");
-        auto memory = amount(item, "mem_gb");
-        auto boot = amount(item, "boot_s");
+        MachineType machine_type;
+        auto name = text_field(item, "name");
+        auto cpus = amount_field(item, "cores");
+        auto memory = amount_field(item, "mem_gb");
+        auto boot = amount_field(item, "boot_s");
         const Json* zones = field(item, "yards");
         if (!name || !cpus || !memory || !boot || zones == nullptr || !zones->is_array()) {
             return std::nullopt;
         }
-        t.name = *name;
-        t.cpus = *cpus;
-        t.memory_gb = *memory;
-        t.boot_s = *boot;
-        t.gpus = amount(item, "cards").value_or(0);
-        t.cache_gb = amount(item, "local_gb").value_or(0);
-        t.fetch_gb_per_s = amount(item, "pull_gb_per_s").value_or(1);
-        t.price = amount(item, "hourly").value_or(0);
-        t.spot_price = amount(item, "low_price").value_or(t.price);
+        machine_type.name = *name;
+        machine_type.cpus = *cpus;
+        machine_type.memory_gb = *memory;
+        machine_type.boot_s = *boot;
+        machine_type.gpus = amount_field(item, "cards").value_or(0);
+        machine_type.cache_gb = amount_field(item, "local_gb").value_or(0);
+        machine_type.fetch_gb_per_s = amount_field(item, "pull_gb_per_s").value_or(1);
+        machine_type.price = amount_field(item, "hourly").value_or(0);
+        machine_type.spot_price = amount_field(item, "low_price").value_or(machine_type.price);
         for (const Json& z : *zones) {
-            if (z.is_string()) t.zones.push_back(z.get<std::string>());
+            if (z.is_string()) machine_type.zones.push_back(z.get<std::string>());
         }
-        out.push_back(std::move(t));
+        out.push_back(std::move(machine_type));
     }
     if (out.empty()) return std::nullopt;
     return out;
 }
 
-Json types_json(const std::vector<MachineType>& types) {
+Json encode_machine_types(const std::vector<MachineType>& types) {
     Json list = Json::array();
-    for (const MachineType& t : types) {
-        list.push_back({{"name", t.name},
-                        {"cores", t.cpus},
-                        {"cards", t.gpus},
-                        {"mem_gb", t.memory_gb},
-                        {"local_gb", t.cache_gb},
-                        {"pull_gb_per_s", t.fetch_gb_per_s},
-                        {"hourly", t.price},
-                        {"low_price", t.spot_price},
-                        {"boot_s", t.boot_s},
-                        {"yards", t.zones}});
+    for (const MachineType& machine_type : types) {
+        list.push_back({{"name", machine_type.name},
+                        {"cores", machine_type.cpus},
+                        {"cards", machine_type.gpus},
+                        {"mem_gb", machine_type.memory_gb},
+                        {"local_gb", machine_type.cache_gb},
+                        {"pull_gb_per_s", machine_type.fetch_gb_per_s},
+                        {"hourly", machine_type.price},
+                        {"low_price", machine_type.spot_price},
+                        {"boot_s", machine_type.boot_s},
+                        {"yards", machine_type.zones}});
     }
     return {{"rigs", list}};
 }
 
-std::optional<HostPage> parse_hosts(const Json& body) {
+std::optional<InstancePage> decode_instance_page(const Json& body) {
     const Json* list = field(body, "hosts");
     if (list == nullptr || !list->is_array()) return std::nullopt;
-    HostPage page;
-    page.more = flag(body, "truncated").value_or(false);
+    InstancePage page;
+    page.more = flag_field(body, "truncated").value_or(false);
     for (const Json& item : *list) {
-        Host h;
-        auto id = text(item, "id");
-        auto status = pick<HostStatus>(kHostStatuses, text(item, "status").value_or(""));
+        CloudInstance instance;
+        auto id = text_field(item, "id");
+        auto status = pick<InstanceStatus>(kHostStatuses, text_field(item, "status").value_or(""));
         if (!id || !status) return std::nullopt;
-        h.id = *id;
-        h.status = *status;
-        h.address = text(item, "address").value_or("");
-        h.type = text(item, "rig").value_or("");
-        h.zone = text(item, "yard").value_or("");
-        h.spot = flag(item, "standby").value_or(false);
-        h.age_s = amount(item, "age_s").value_or(0);
-        page.hosts.push_back(std::move(h));
+        instance.id = *id;
+        instance.status = *status;
+        instance.address = text_field(item, "address").value_or("");
+        instance.type = text_field(item, "rig").value_or("");
+        instance.zone = text_field(item, "yard").value_or("");
+        instance.spot = flag_field(item, "standby").value_or(false);
+        instance.age_s = amount_field(item, "age_s").value_or(0);
+        page.instances.push_back(std::move(instance));
     }
     return page;
 }
 
-std::string hire_request(const std::string& request, const std::string& type,
-                         const std::string& zone, bool spot, std::uint32_t count) {
+std::string encode_provision_request(const std::string& request, const std::string& type,
+                                     const std::string& zone, bool spot, std::uint32_t count) {
     return encode(
         {{"hire", request}, {"rig", type}, {"yard", zone}, {"standby", spot}, {"count", count}});
 }
 
-std::string return_request(const std::vector<std::string>& hosts) {
+std::string encode_release_request(const std::vector<std::string>& hosts) {
     return encode({{"hosts", hosts}});
 }
 
-std::optional<std::vector<std::string>> parse_hired(const Json& body) {
+std::optional<std::vector<std::string>> decode_provision_reply(const Json& body) {
     const Json* list = field(body, "hosts");
     if (list == nullptr || !list->is_array()) return std::nullopt;
     std::vector<std::string> out;
