--- a/src/api/confirmed_reads.cpp
+++ b/src/api/confirmed_reads.cpp
@@ -1,6 +1,7 @@
 #include "api/confirmed_reads.h"
 
 #include <algorithm>
+#include <iterator>
 #include <utility>
 
 #include "jobs/job.h"
@@ -8,10 +9,11 @@
 namespace nickelramp::api {
 
 namespace {
-constexpr const char* kPrefix = "job/";
-constexpr std::size_t kPrefixLength = 4;
-constexpr Millis kKeepUp = 5'000;  // read at least so often, or too much has changed
-constexpr Millis kLookUp = 1'000;
+constexpr std::size_t kJobPrefixLength = 4;
+// Changes are read at least this often, also without readers: the store keeps them for a while
+// only.
+constexpr Millis kMaxReadInterval = 5'000;
+constexpr Millis kRecordReadTimeout = 1'000;
 }  // namespace
 
 std::optional<RecordedStatus> decode_recorded_status(const wire::Json& record,
@@ -21,8 +23,8 @@
     status.version = version;
     status.tasks = wire::count_field(record, "tasks").value_or(0);
     const auto final = wire::text_field(record, "final");
-    for (auto s : {wire::JobStatus::done, wire::JobStatus::cancelled}) {
-        if (final == wire::final_name(s)) status.final = s;
+    for (auto candidate : {wire::JobStatus::done, wire::JobStatus::cancelled}) {
+        if (final == wire::final_name(candidate)) status.final = candidate;
     }
     return status;
 }
@@ -41,44 +43,46 @@
     return "?";
 }
 
-ConfirmedReads::ConfirmedReads(JobStore& records, Millis gap, std::function<void(Millis)> wake,
-                               std::size_t half)
-    : store_(records),
-      min_read_interval_(gap),
+ConfirmedReads::ConfirmedReads(JobStore& store, Millis min_read_interval,
+                               std::function<void(Millis)> wake, std::size_t cache_generation_size)
+    : store_(store),
+      min_read_interval_(min_read_interval),
       wake_(std::move(wake)),
-      cache_generation_size_(half) {}
+      cache_generation_size_(cache_generation_size) {}
 
 void ConfirmedReads::set_state(ReadBatchState state) { state_ = state; }
 
 const RecordedStatus* ConfirmedReads::find_cached(const std::string& id) const {
-    for (const auto* half : {&recent_cache_, &previous_cache_}) {
-        auto it = half->find(id);
-        if (it != half->end()) return &it->second;
+    for (const auto* cache : {&recent_cache_, &previous_cache_}) {
+        const auto found = cache->find(id);
+        if (found != cache->end()) return &found->second;
     }
     return nullptr;
 }
 
 void ConfirmedReads::cache(const std::string& id, const RecordedStatus& status) {
-    // A lookup may have been faster than the read of the change before it.
+    // A read of the record may have been faster than the read of an earlier change to it.
     if (const RecordedStatus* known = find_cached(id);
         known != nullptr && known->version > status.version)
         return;
     if (recent_cache_.size() >= cache_generation_size_) {
-        ++generation_;  // what a lookup under way has missed may be among what goes
+        ++generation_;  // a change that a record read under way has missed may be dropped here
         previous_cache_ = std::move(recent_cache_);
         recent_cache_.clear();
     }
     recent_cache_[id] = status;
 }
 
-void ConfirmedReads::read(const std::string& id, Millis patience, Done done, Millis now) {
-    waiting_for_next_read_.push_back({id, now + patience, std::move(done)});
+void ConfirmedReads::read(const std::string& id, Millis timeout, Done done, Millis now) {
+    waiting_for_next_read_.push_back({id, now + timeout, std::move(done)});
     if (state_ == ReadBatchState::idle) advance(now);
 }
 
-// Reads for those that wait, when the gap since the last read is over.
+// Begins the next read if readers wait, or the cache must keep up, and the interval since the last
+// one is over.
 void ConfirmedReads::advance(Millis now) {
-    if (waiting_for_next_read_.empty() && (revision_ == 0 || now < last_read_at_ + kKeepUp)) {
+    if (waiting_for_next_read_.empty() &&
+        (revision_ == 0 || now < last_read_at_ + kMaxReadInterval)) {
         set_state(ReadBatchState::idle);
         return;
     }
@@ -99,11 +103,11 @@
 
 void ConfirmedReads::read_changes() {
     set_state(ReadBatchState::reading);
-    store_.changes(kPrefix, revision_,
-                   [this](Millis t, const kvstore::ListReply& reply) { on_changes(reply, t); });
+    store_.changes(kJobPrefix, revision_,
+                   [this](Millis now, const kvstore::ListReply& reply) { on_changes(reply, now); });
 }
 
-// Nothing that is kept is true of a known revision. What is asked meanwhile is looked up one by
+// The cache is true of no known revision and is cleared. Until the reply, records are read one by
 // one.
 void ConfirmedReads::read_initial_revision() {
     set_state(ReadBatchState::starting);
@@ -111,97 +115,109 @@
     recent_cache_.clear();
     previous_cache_.clear();
     read_records(std::exchange(waiting_for_current_read_, {}));
-    store_.revision([this](Millis t, const kvstore::ListReply& reply) {
+    store_.revision([this](Millis now, const kvstore::ListReply& reply) {
         if (reply.status == kvstore::Status::ok) revision_ = reply.revision;
-        advance(t);
+        advance(now);
     });
 }
 
 void ConfirmedReads::on_changes(const kvstore::ListReply& reply, Millis now) {
-    auto served = std::exchange(waiting_for_current_read_, {});
+    auto reads = std::exchange(waiting_for_current_read_, {});
     if (reply.status != kvstore::Status::ok) {
-        if (reply.status == kvstore::Status::lease_or_revision_expired) revision_ = 0;
-        // They came before this read and may be served by the next.
-        for (Question& q : served) {
-            if (now < q.deadline)
-                waiting_for_next_read_.push_back(std::move(q));
-            else
-                q.on_result(Lookup::unknown, {});
-        }
+        on_changes_failed(std::move(reads), reply.status, now);
         advance(now);
         return;
     }
-    for (const kvstore::Entry& entry : reply.entries) {
-        if (entry.deleted || entry.key.size() <= kPrefixLength) continue;
-        if (auto status = decode_recorded_status(entry.value, entry.version))
-            cache(entry.key.substr(kPrefixLength), *status);
-    }
+    cache_changes(reply.entries);
     revision_ = std::max(revision_, reply.revision);
-    std::vector<Question> unknown;
-    for (Question& q : served) {
-        if (const RecordedStatus* status = find_cached(q.id))
-            q.on_result(Lookup::found, RecordedStatus(*status));
+    std::vector<PendingRead> not_cached;
+    for (PendingRead& read : reads) {
+        if (const RecordedStatus* status = find_cached(read.id))
+            read.done(Lookup::found, RecordedStatus(*status));
         else
-            unknown.push_back(std::move(q));
+            not_cached.push_back(std::move(read));
     }
-    read_records(std::move(unknown));
+    read_records(std::move(not_cached));
     advance(now);
 }
 
-void ConfirmedReads::read_records(std::vector<Question> questions) {
-    std::unordered_map<std::string, std::vector<Question>> by_id;
-    for (Question& q : questions) by_id[q.id].push_back(std::move(q));
-    for (auto& [id, same] : by_id) read_record(id, std::move(same));
+// The readers came before this read, so that the next one may serve them too.
+void ConfirmedReads::on_changes_failed(std::vector<PendingRead> reads, kvstore::Status status,
+                                       Millis now) {
+    if (status == kvstore::Status::lease_or_revision_expired) revision_ = 0;
+    for (PendingRead& read : reads) {
+        if (now < read.deadline)
+            waiting_for_next_read_.push_back(std::move(read));
+        else
+            read.done(Lookup::unknown, {});
+    }
+}
+
+void ConfirmedReads::cache_changes(const std::vector<kvstore::Entry>& entries) {
+    for (const kvstore::Entry& entry : entries) {
+        if (entry.deleted || entry.key.size() <= kJobPrefixLength) continue;
+        if (const auto status = decode_recorded_status(entry.value, entry.version))
+            cache(entry.key.substr(kJobPrefixLength), *status);
+    }
+}
+
+void ConfirmedReads::read_records(std::vector<PendingRead> reads) {
+    std::unordered_map<std::string, std::vector<PendingRead>> by_id;
+    for (PendingRead& read : reads) by_id[read.id].push_back(std::move(read));
+    for (auto& [id, of_one_job] : by_id) read_record(id, std::move(of_one_job));
 }
 
-// A job whose record has not changed since this node follows them.
-void ConfirmedReads::read_record(const std::string& id, std::vector<Question> questions) {
-    auto [it, fresh] = record_reads_.try_emplace(id);
-    // One that is under way may have been executed before these came; it is asked again after it.
-    std::vector<Question>& list = fresh ? it->second.readers : it->second.later_readers;
-    std::move(questions.begin(), questions.end(), std::back_inserter(list));
-    if (!fresh) return;
-    store_.get(jobs::job_key(id), kLookUp,
-               [this, id, based = revision_ != 0, g = generation_](Millis,
-                                                                   const kvstore::GetReply& reply) {
-                   on_record_read(id, based && g == generation_, reply);
+// For a job whose record has not changed since this controller follows the changes.
+void ConfirmedReads::read_record(const std::string& id, std::vector<PendingRead> reads) {
+    auto [found, inserted] = record_reads_.try_emplace(id);
+    // A read under way may have been executed before these readers came; another one follows it.
+    std::vector<PendingRead>& readers =
+        inserted ? found->second.readers : found->second.later_readers;
+    std::move(reads.begin(), reads.end(), std::back_inserter(readers));
+    if (!inserted) return;
+    const bool follows_changes = revision_ != 0;
+    store_.get(jobs::job_key(id), kRecordReadTimeout,
+               [this, id, follows_changes, generation = generation_](
+                   Millis, const kvstore::GetReply& reply) {
+                   on_record_read(id, follows_changes && generation == generation_, reply);
                });
 }
 
-// Whatever has changed the record since it was asked for is known by now, if changes were followed
-// by then and nothing kept was let go since: `may_keep`.
-void ConfirmedReads::on_record_read(const std::string& id, bool may_keep,
+// A change to the record since the read was begun is in the cache by now, if changes were followed
+// then and nothing has been dropped from the cache since: only then `may_cache` holds.
+void ConfirmedReads::on_record_read(const std::string& id, bool may_cache,
                                     const kvstore::GetReply& reply) {
-    auto node = record_reads_.extract(id);
+    auto record_read = record_reads_.extract(id);
     const auto status = reply.status == kvstore::Status::ok
                             ? decode_recorded_status(reply.entry.value, reply.entry.version)
                             : std::nullopt;
-    if (status && may_keep && find_cached(id) == nullptr) cache(id, *status);
-    if (!node.mapped().later_readers.empty())
-        read_record(id, std::move(node.mapped().later_readers));
-    for (Question& q : node.mapped().readers) {
+    if (status && may_cache && find_cached(id) == nullptr) cache(id, *status);
+    if (!record_read.mapped().later_readers.empty())
+        read_record(id, std::move(record_read.mapped().later_readers));
+    const Lookup without_status =
+        reply.status == kvstore::Status::missing ? Lookup::missing : Lookup::unknown;
+    for (PendingRead& read : record_read.mapped().readers) {
         if (status)
-            q.on_result(Lookup::found, *status);
+            read.done(Lookup::found, *status);
         else
-            q.on_result(
-                reply.status == kvstore::Status::missing ? Lookup::missing : Lookup::unknown, {});
+            read.done(without_status, {});
     }
 }
 
 void ConfirmedReads::run_due_work(Millis now) {
     std::vector<Done> late;
-    auto expire = [&](std::vector<Question>& list) {
-        std::erase_if(list, [&](Question& q) {
-            if (now < q.deadline) return false;
-            late.push_back(std::move(q.on_result));
+    auto expire = [&](std::vector<PendingRead>& reads) {
+        std::erase_if(reads, [&](PendingRead& read) {
+            if (now < read.deadline) return false;
+            late.push_back(std::move(read.done));
             return true;
         });
     };
     expire(waiting_for_next_read_);
     expire(waiting_for_current_read_);
-    for (auto& [id, l] : record_reads_) {
-        expire(l.readers);
-        expire(l.later_readers);
+    for (auto& [id, record_read] : record_reads_) {
+        expire(record_read.readers);
+        expire(record_read.later_readers);
     }
     for (Done& done : late) done(Lookup::unknown, {});
     if (state_ == ReadBatchState::idle || state_ == ReadBatchState::pausing) advance(now);
--- a/src/api/confirmed_reads_driver.cpp
+++ b/src/api/confirmed_reads_driver.cpp
@@ -7,49 +7,56 @@
 namespace nickelramp::api {
 
 namespace {
-constexpr double kPart = 0.1;  // of the requests, for all controllers together
-constexpr Millis kTimeout = 1'000;
-constexpr Millis kLeastGap = 20, kMostGap = 400;  // users wait 2 s
-
-Millis gap(const wire::Settings& settings) {
-    const double each =
-        settings.state_requests_per_s * kPart / static_cast<double>(settings.peers.size() + 1);
-    return std::clamp(seconds(1.0 / std::max(0.1, each)), kLeastGap, kMostGap);
+// Of the store's request limit, for the batched reads of all controllers together.
+constexpr double kReadsShare = 0.1;
+constexpr double kMinReadsPerSecond = 0.1;
+// Users wait 2 s for a status.
+constexpr Millis kMinReadInterval = 20, kMaxReadInterval = 400;
+constexpr Millis kReadTimeout = 1'000;
+
+Millis read_interval(const wire::Settings& settings) {
+    const double controllers = static_cast<double>(settings.peers.size() + 1);
+    const double reads_per_s = settings.state_requests_per_s * kReadsShare / controllers;
+    return std::clamp(seconds(1.0 / std::max(kMinReadsPerSecond, reads_per_s)), kMinReadInterval,
+                      kMaxReadInterval);
 }
 }  // namespace
 
-ConfirmedReadsDriver::ConfirmedReadsDriver(uv_loop_t* loop, kvstore::Client& state,
+ConfirmedReadsDriver::ConfirmedReadsDriver(uv_loop_t* loop, kvstore::Client& client,
                                            const wire::Settings& settings)
     : loop_(loop),
-      client_(state),
+      client_(client),
       timer_(loop, [this] { run_due_work(); }),
-      reads_(*this, gap(settings), [this](Millis at) { timer_.after(at - now()); }) {}
+      reads_(*this, read_interval(settings), [this](Millis at) { timer_.after(at - now()); }) {}
 
-void ConfirmedReadsDriver::get(const std::string& key, Millis wait, Done<kvstore::GetReply> done) {
-    client_.get(key, kvstore::RequestClass::user, wait, net::with_time(loop_, std::move(done)));
+void ConfirmedReadsDriver::get(const std::string& key, Millis timeout,
+                               Done<kvstore::GetReply> done) {
+    client_.get(key, kvstore::RequestClass::user, timeout, net::with_time(loop_, std::move(done)));
 }
 
-void ConfirmedReadsDriver::changes(const std::string& prefix, std::uint64_t after,
+void ConfirmedReadsDriver::changes(const std::string& prefix, std::uint64_t after_revision,
                                    Done<kvstore::ListReply> done) {
-    client_.changes_since(prefix, after, kvstore::RequestClass::election, kTimeout,
+    client_.changes_since(prefix, after_revision, kvstore::RequestClass::election, kReadTimeout,
                           net::with_time(loop_, std::move(done)));
 }
 
+// A page of one entry: each page names the store's revision.
 void ConfirmedReadsDriver::revision(Done<kvstore::ListReply> done) {
-    client_.list_page("job/", "", 1, kvstore::RequestClass::election,
+    client_.list_page(kJobPrefix, "", 1, kvstore::RequestClass::election,
                       net::with_time(loop_, std::move(done)));
 }
 
-void ConfirmedReadsDriver::commit(const kvstore::Transaction& transaction, Millis wait,
+void ConfirmedReadsDriver::commit(const kvstore::Transaction& transaction, Millis timeout,
                                   Done<kvstore::CommitReply> done) {
-    client_.commit(transaction, kvstore::RequestClass::user, wait,
+    client_.commit(transaction, kvstore::RequestClass::user, timeout,
                    net::with_time(loop_, std::move(done)));
 }
 
-void ConfirmedReadsDriver::watch(const std::string& prefix, std::uint64_t after, Millis wait,
-                                 Done<kvstore::ListReply> done) {
-    const Millis held = wait / 2;  // the rest is for its answer
-    client_.watch(prefix, after, held, net::with_time(loop_, std::move(done)), wait - held);
+void ConfirmedReadsDriver::watch(const std::string& prefix, std::uint64_t after_revision,
+                                 Millis timeout, Done<kvstore::ListReply> done) {
+    const Millis watch_duration = timeout / 2;  // the rest is for the reply to arrive
+    client_.watch(prefix, after_revision, watch_duration, net::with_time(loop_, std::move(done)),
+                  timeout - watch_duration);
 }
 
 }  // namespace nickelramp::api
--- a/src/api/confirmed_reads_driver.h
+++ b/src/api/confirmed_reads_driver.h
@@ -1,6 +1,9 @@
-// Runs the answers to users on libuv: what they ask of the state service goes to its client, their
-// dates to a timer.
+/// @file
+/// Confirmed reads on libuv.
 #pragma once
+#include <uv.h>
+
+#include <cstdint>
 #include <string>
 
 #include "api/confirmed_reads.h"
@@ -10,22 +13,26 @@
 
 namespace nickelramp::api {
 
+/// Connects ConfirmedReads, which knows neither sockets nor clocks, with a client of the key-value
+/// store and a timer. The controller owns it and calls run_due_work() now and then. The client must
+/// outlive it, and so must the loop. To be used on the loop's thread only.
 class ConfirmedReadsDriver : private JobStore {
   public:
-    ConfirmedReadsDriver(uv_loop_t* loop, kvstore::Client& state, const wire::Settings& settings);
+    ConfirmedReadsDriver(uv_loop_t* loop, kvstore::Client& client, const wire::Settings& settings);
 
+    /// For JobRequestHandler.
     JobStore& store() { return *this; }
     ConfirmedReads& reads() { return reads_; }
     void run_due_work() { reads_.run_due_work(now()); }
 
   private:
-    void get(const std::string& key, Millis wait, Done<kvstore::GetReply> done) override;
-    void changes(const std::string& prefix, std::uint64_t after,
+    void get(const std::string& key, Millis timeout, Done<kvstore::GetReply> done) override;
+    void changes(const std::string& prefix, std::uint64_t after_revision,
                  Done<kvstore::ListReply> done) override;
     void revision(Done<kvstore::ListReply> done) override;
-    void commit(const kvstore::Transaction& transaction, Millis wait,
+    void commit(const kvstore::Transaction& transaction, Millis timeout,
                 Done<kvstore::CommitReply> done) override;
-    void watch(const std::string& prefix, std::uint64_t after, Millis wait,
+    void watch(const std::string& prefix, std::uint64_t after_revision, Millis timeout,
                Done<kvstore::ListReply> done) override;
     Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
 
--- a/src/api/job_request_handler.cpp
+++ b/src/api/job_request_handler.cpp
@@ -3,9 +3,10 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <set>
+#include <utility>
+#include <variant>
 
-#include "jobs/resource_need.h"
+#include "api/job_admission.h"
 
 namespace nickelramp::api {
 
@@ -14,94 +15,111 @@
 using wire::Json;
 
 namespace {
-constexpr Millis kChangeWait = 3500;  // submissions and cancels: users wait 5 s
-constexpr Millis kQueryWait = 1500;   // users wait 2 s
-constexpr std::size_t kMostOpen = 1000;
-constexpr Millis kEndWait = 800;         // for what usually takes a twentieth of it
-constexpr std::size_t kMostAwaited = 2;  // at once; the others ask again
-
-Response busy() { return {503, wire::encode({{"error", "try again"}}), 1, "application/cbor"}; }
-Response failure(int status, const std::string& what) {
-    return {status, wire::encode({{"error", what}}), 0, "application/cbor"};
+
+constexpr const char* kCollectionPath = "/work";
+constexpr const char* kJobPathPrefix = "/work/";
+constexpr const char* kCancelSuffix = "/abort";
+
+// Users wait 5 s for a submission or a cancellation, and 2 s for a status.
+constexpr Millis kChangeTimeout = 3500;
+constexpr Millis kStatusTimeout = 1500;
+constexpr std::size_t kMaxPendingRequests = 1000;
+// For the end of a cancelled job, which usually takes a twentieth of it. Few users wait for it at
+// once; the others are asked to try again.
+constexpr Millis kJobEndTimeout = 800;
+constexpr std::size_t kMaxPendingCancellations = 2;
+constexpr double kBytesPerKilobyte = 1024;
+
+constexpr int kOk = 200, kCreated = 201, kBadRequest = 400, kNotFound = 404,
+              kMethodNotAllowed = 405, kUnprocessable = 422, kUnavailable = 503;
+constexpr const char* kCbor = "application/cbor";
+constexpr int kRetryAfterSeconds = 1;
+
+Response success(int status, const Json& body) { return {status, wire::encode(body), 0, kCbor}; }
+Response failure(int status, const std::string& reason) {
+    return {status, wire::encode({{"error", reason}}), 0, kCbor};
 }
-Response not_known() { return failure(404, "no such job"); }
-Response ok(int status, const Json& body) {
-    return {status, wire::encode(body), 0, "application/cbor"};
+Response try_again() {
+    return {kUnavailable, wire::encode({{"error", "try again"}}), kRetryAfterSeconds, kCbor};
 }
-}  // namespace
+Response no_such_job() { return failure(kNotFound, "no such job"); }
 
-std::string unschedulable_reason(const wire::JobSpec& spec, const wire::Settings& settings,
-                                 const std::vector<wire::MachineType>& types) {
-    auto team = std::find_if(settings.teams.begin(), settings.teams.end(),
-                             [&](const wire::Team& t) { return t.name == spec.team; });
-    if (team == settings.teams.end()) return "unknown team";
-    bool fits = false;
-    std::set<std::string> zones;
-    for (const wire::MachineType& machine_type : types) {
-        if (!spec.any_type && std::find(spec.types.begin(), spec.types.end(), machine_type.name) ==
-                                  spec.types.end()) {
-            continue;
-        }
-        if (spec.zone && std::find(machine_type.zones.begin(), machine_type.zones.end(),
-                                   *spec.zone) == machine_type.zones.end())
-            continue;
-        if (!jobs::fits_within(machine_type.cpus, machine_type.gpus, machine_type.memory_gb,
-                               {spec.cpus, spec.gpus, spec.memory_gb}))
-            continue;
-        fits = true;
-        zones.insert(machine_type.zones.begin(), machine_type.zones.end());
-    }
-    if (!fits) return "a task fits no allowed machine type";
-    // Of an array or a service half can run, one after the other or for good; of a gang nothing
-    // can.
-    const bool in_one_zone = spec.one_zone || spec.zone || zones.size() < 2;
-    if (spec.shape == wire::Shape::gang && spec.spread && spec.tasks > 1 && in_one_zone)
-        return "scattered over zones, of which it is allowed one";
-    double tasks = spec.shape == wire::Shape::array ? 1.0 : spec.tasks;
-    if ((team->cpus_max > 0 && spec.cpus * tasks > team->cpus_max + jobs::kFitTolerance) ||
-        (team->gpus_max > 0 && spec.gpus * tasks > team->gpus_max + jobs::kFitTolerance)) {
-        return "needs more than the team's limit";
+// A submission that can be stored.
+struct Submission {
+    wire::JobSpec spec;
+    Json open_record;
+};
+
+// For a submission that cannot be stored, the response that says why.
+std::variant<Submission, Response> read_submission(const std::string& body, std::int64_t wall_ms,
+                                                   double max_value_kb) {
+    const auto map = wire::decode_map(body);
+    if (!map || !wire::is_plain_json(*map))
+        return failure(kBadRequest, "the body is no CBOR map of plain values");
+    std::string invalid_field;
+    auto spec = wire::parse_job(*map, invalid_field);
+    if (!spec) return failure(kBadRequest, "missing or invalid: " + invalid_field);
+    Json open_record = jobs::encode_open_record(*map, wall_ms, false);
+    const auto size = wire::json_size(open_record);
+    if (!size) return failure(kBadRequest, "text is to be UTF-8");
+    if (static_cast<double>(*size) > max_value_kb * kBytesPerKilobyte)
+        return failure(kBadRequest, "the description is too long");
+    return Submission{std::move(*spec), std::move(open_record)};
+}
+
+// The status in a job's record, once it is final, among changes to the record.
+std::optional<RecordedStatus> find_final_status(const std::vector<kvstore::Entry>& entries,
+                                                const std::string& job_id) {
+    for (const kvstore::Entry& entry : entries) {
+        if (entry.deleted || entry.key != jobs::job_key(job_id)) continue;
+        const auto status = decode_recorded_status(entry.value, entry.version);
+        if (status && status->final) return status;
     }
-    return "";
+    return std::nullopt;
 }
 
-JobRequestHandler::JobRequestHandler(const wire::Settings& settings, JobStore& records,
-                                     ConfirmedReads& answers, Hooks hooks)
-    : settings_(settings), store_(records), reads_(answers), hooks_(std::move(hooks)) {}
+}  // namespace
+
+JobRequestHandler::JobRequestHandler(const wire::Settings& settings, JobStore& store,
+                                     ConfirmedReads& reads, Hooks hooks)
+    : settings_(settings), store_(store), reads_(reads), hooks_(std::move(hooks)) {}
 
 bool JobRequestHandler::handle(const net::Request& request, Respond respond) {
-    const std::string& path = request.path;
-    if (path == "/work") {
-        if (request.method != "POST")
-            respond(failure(405, "use POST"));
-        else if (pending_count_ >= kMostOpen)
-            respond(busy());
-        else
-            submit(request, std::move(respond));
+    if (request.path == kCollectionPath) {
+        handle_submission(request, std::move(respond));
         return true;
     }
-    if (path.rfind("/work/", 0) != 0) return false;
-    std::string id = path.substr(6);
-    bool abort = id.size() > 6 && id.compare(id.size() - 6, 6, "/abort") == 0;
-    if (abort) id.resize(id.size() - 6);
-    if (!wire::valid_job_id(id))
-        respond(failure(id.find('/') == std::string::npos ? 400 : 404, "id"));
-    else if (pending_count_ >= kMostOpen)
-        respond(busy());
-    else if (abort && request.method == "POST")
-        cancel(make_request(id, kChangeWait, std::move(respond)));
-    else if (!abort && request.method == "GET")
-        answer_with_status(make_request(id, kQueryWait, std::move(respond)), not_known());
-    else
-        respond(failure(405, abort ? "use POST" : "use GET"));
+    if (request.path.rfind(kJobPathPrefix, 0) != 0) return false;
+    handle_job_request(request, std::move(respond));
     return true;
 }
 
+bool JobRequestHandler::is_overloaded() const { return pending_count_ >= kMaxPendingRequests; }
+
+void JobRequestHandler::handle_job_request(const net::Request& request, Respond respond) {
+    const std::string_view suffix = kCancelSuffix;
+    std::string id = request.path.substr(std::string_view(kJobPathPrefix).size());
+    const bool is_cancel = id.size() > suffix.size() && id.ends_with(suffix);
+    if (is_cancel) id.resize(id.size() - suffix.size());
+    if (!wire::valid_job_id(id)) {
+        const bool is_one_segment = id.find('/') == std::string::npos;
+        respond(failure(is_one_segment ? kBadRequest : kNotFound, "id"));
+    } else if (is_overloaded()) {
+        respond(try_again());
+    } else if (is_cancel && request.method == "POST") {
+        cancel(make_request(id, kChangeTimeout, std::move(respond)));
+    } else if (!is_cancel && request.method == "GET") {
+        respond_with_status(make_request(id, kStatusTimeout, std::move(respond)), no_such_job());
+    } else {
+        respond(failure(kMethodNotAllowed, is_cancel ? "use POST" : "use GET"));
+    }
+}
+
 JobRequestHandler::PendingRequest JobRequestHandler::make_request(const std::string& id,
-                                                                  Millis wait,
+                                                                  Millis timeout,
                                                                   Respond respond) const {
     const Millis now = hooks_.now();
-    return {id, now, now + wait, std::move(respond)};
+    return {id, now, now + timeout, std::move(respond)};
 }
 
 void JobRequestHandler::request_started() {
@@ -110,125 +128,111 @@
 
 void JobRequestHandler::request_finished() { --pending_count_; }
 
-void JobRequestHandler::respond(const char* request, const PendingRequest& a,
-                                const Response& response) {
-    hooks_.on_answered(request, response.status, hooks_.now() - a.received_at);
-    a.respond(response);
+void JobRequestHandler::respond_to_submission(const PendingRequest& request,
+                                              const Response& response) {
+    hooks_.on_answered("submit", response.status, hooks_.now() - request.received_at);
+    request.respond(response);
 }
 
-// Answers from the job's own record.
 void JobRequestHandler::respond_with_recorded_status(const RecordedStatus& status,
                                                      const PendingRequest& request) {
+    TaskCounts counts;
+    JobStatus job_status = JobStatus::pending;
     if (status.final) {
-        const std::uint64_t done = *status.final == JobStatus::done ? status.tasks : 0;
-        request.respond(ok(200, wire::encode_job_answer(request.job_id, *status.final, done, 0)));
+        job_status = *status.final;
+        if (job_status == JobStatus::done) counts.done = status.tasks;
     } else {
-        std::uint64_t done = 0, running = 0;
-        hooks_.progress(request.job_id, done, running);
-        request.respond(
-            ok(200, wire::encode_job_answer(request.job_id,
-                                            running > 0 ? JobStatus::running : JobStatus::pending,
-                                            done, running)));
+        counts = hooks_.progress(request.job_id);
+        if (counts.running > 0) job_status = JobStatus::running;
     }
+    request.respond(success(
+        kOk, wire::encode_job_answer(request.job_id, job_status, counts.done, counts.running)));
 }
 
-void JobRequestHandler::submit(const net::Request& request, Respond respond) {
-    auto body = wire::decode_map(request.body);
-    if (!body || !wire::is_plain_json(*body)) {
-        respond(failure(400, "the body is no CBOR map of plain values"));
-        return;
-    }
-    std::string error;
-    auto spec = wire::parse_job(*body, error);
-    if (!spec) {
-        respond(failure(400, "missing or invalid: " + error));
-        return;
-    }
-    Json open = jobs::encode_open_record(*body, hooks_.wall_ms(), false);
-    const auto size = wire::json_size(open);
-    if (!size || static_cast<double>(*size) > settings_.state_value_kb * 1024) {
-        respond(failure(400, size ? "the description is too long" : "text is to be UTF-8"));
-        return;
-    }
-    if (machine_types_.empty()) {
-        respond(busy());  // what can run is not known yet
-        return;
-    }
-    PendingRequest a = make_request(spec->id, kChangeWait, std::move(respond));
-    std::string never = unschedulable_reason(*spec, settings_, machine_types_);
-    if (!never.empty()) {
-        // A job that was accepted before must not be turned away now.
-        return answer_with_status(std::move(a), failure(422, never));
-    }
-    // A repeated one costs no change.
-    if (reads_.has_record(a.job_id)) return answer_with_status(std::move(a), not_known());
+void JobRequestHandler::handle_submission(const net::Request& request, Respond respond) {
+    if (request.method != "POST") return respond(failure(kMethodNotAllowed, "use POST"));
+    if (is_overloaded()) return respond(try_again());
+    auto submission = read_submission(request.body, hooks_.wall_ms(), settings_.state_value_kb);
+    if (const auto* rejection = std::get_if<Response>(&submission)) return respond(*rejection);
+    if (!has_machine_types()) return respond(try_again());  // what can run is not known yet
+    auto& [spec, open_record] = std::get<Submission>(submission);
+    submit(spec, std::move(open_record), make_request(spec.id, kChangeTimeout, std::move(respond)));
+}
+
+void JobRequestHandler::submit(const wire::JobSpec& spec, Json open_record,
+                               const PendingRequest& request) {
+    // A job that was accepted before must not be rejected now, so that its status comes first.
+    if (const auto reason = unschedulable_reason(spec, settings_, machine_types_))
+        return respond_with_status(request, failure(kUnprocessable, message(*reason)));
+    // A repeated submission costs no write.
+    if (reads_.has_record(spec.id)) return respond_with_status(request, no_such_job());
     kvstore::Transaction transaction;
-    transaction.conditions = {{jobs::job_key(a.job_id), 0}};
-    transaction.writes = {
-        {jobs::job_key(a.job_id), Json{{"final", nullptr}, {"tasks", spec->tasks}}},
-        {jobs::open_key(a.job_id), std::move(open)}};
-    write_new_job(transaction, std::move(a));
+    transaction.conditions = {{jobs::job_key(spec.id), 0}};
+    transaction.writes = {{jobs::job_key(spec.id), Json{{"final", nullptr}, {"tasks", spec.tasks}}},
+                          {jobs::open_key(spec.id), std::move(open_record)}};
+    write_new_job(transaction, request);
 }
 
 void JobRequestHandler::write_new_job(const kvstore::Transaction& transaction,
-                                      PendingRequest request) {
+                                      const PendingRequest& request) {
     request_started();
-    store_.commit(
-        transaction, time_left(request),
-        [this, request](Millis, const kvstore::CommitReply& reply) {
-            request_finished();
-            spdlog::debug("submission of {}: {}", request.job_id, kvstore::name(reply.status));
-            if (reply.status == kvstore::Status::ok)
-                respond("submit", request,
-                        ok(201, wire::encode_job_answer(request.job_id, JobStatus::pending)));
-            else if (reply.status == kvstore::Status::conflict)
-                answer_with_status(request, not_known());  // it is known already
-            else
-                respond("submit", request, busy());
-        });
+    store_.commit(transaction, time_left(request),
+                  [this, request](Millis, const kvstore::CommitReply& reply) {
+                      request_finished();
+                      spdlog::debug("job submitted: job={} status={}", request.job_id,
+                                    kvstore::name(reply.status));
+                      if (reply.status == kvstore::Status::ok)
+                          respond_to_submission(
+                              request, success(kCreated, wire::encode_job_answer(
+                                                             request.job_id, JobStatus::pending)));
+                      else if (reply.status == kvstore::Status::conflict)
+                          respond_with_status(request, no_such_job());  // it was submitted before
+                      else
+                          respond_to_submission(request, try_again());
+                  });
 }
 
-void JobRequestHandler::answer_with_status(PendingRequest request, Response missing) {
+void JobRequestHandler::respond_with_status(const PendingRequest& request, Response if_missing) {
     request_started();
-    const Millis wait = time_left(request);
+    const Millis timeout = time_left(request);
     reads_.read(
-        request.job_id, wait,
-        [this, request, missing = std::move(missing)](ConfirmedReads::Lookup found,
-                                                      const RecordedStatus& status) {
+        request.job_id, timeout,
+        [this, request, if_missing = std::move(if_missing)](ConfirmedReads::Lookup lookup,
+                                                            const RecordedStatus& status) {
             request_finished();
-            if (found == ConfirmedReads::Lookup::found)
+            if (lookup == ConfirmedReads::Lookup::found)
                 respond_with_recorded_status(status, request);
-            else if (found == ConfirmedReads::Lookup::missing)
-                request.respond(missing);
+            else if (lookup == ConfirmedReads::Lookup::missing)
+                request.respond(if_missing);
             else
-                request.respond(busy());
+                request.respond(try_again());
         },
         hooks_.now());
 }
 
-// The wish goes into the open record; the leader stops the tasks and makes the job final when none
-// is left. Until then the answer is to ask again: what was told can then not be undone by anybody
-// who had not heard of it.
-void JobRequestHandler::cancel(PendingRequest request) {
+// The cancel request is written to the job's open record; the leader stops the tasks and makes the
+// job final once none is left. Until then users are asked to try again: a status that was given to
+// a user is never revoked by a controller that does not know of it.
+void JobRequestHandler::cancel(const PendingRequest& request) {
     request_started();
-    const Millis wait = time_left(request);
+    const Millis timeout = time_left(request);
     reads_.read(
-        request.job_id, wait,
-        [this, request](ConfirmedReads::Lookup found, const RecordedStatus& status) {
+        request.job_id, timeout,
+        [this, request](ConfirmedReads::Lookup lookup, const RecordedStatus& status) {
             request_finished();
-            if (found == ConfirmedReads::Lookup::missing)
-                request.respond(not_known());
-            else if (found == ConfirmedReads::Lookup::found && status.final)
+            if (lookup == ConfirmedReads::Lookup::missing)
+                request.respond(no_such_job());
+            else if (lookup == ConfirmedReads::Lookup::found && status.final)
                 respond_with_recorded_status(status, request);
-            else if (found == ConfirmedReads::Lookup::unknown || time_left(request) <= 0)
-                request.respond(busy());
+            else if (lookup == ConfirmedReads::Lookup::unknown || time_left(request) <= 0)
+                request.respond(try_again());
             else
                 read_open_for_cancel(request);
         },
         hooks_.now());
 }
 
-void JobRequestHandler::read_open_for_cancel(PendingRequest request) {
+void JobRequestHandler::read_open_for_cancel(const PendingRequest& request) {
     request_started();
     store_.get(jobs::open_key(request.job_id), time_left(request),
                [this, request](Millis, const kvstore::GetReply& open) {
@@ -236,15 +240,15 @@
                    if (open.status == kvstore::Status::missing)
                        cancel(request);  // it has just become final
                    else if (open.status != kvstore::Status::ok || time_left(request) <= 0)
-                       request.respond(busy());
+                       request.respond(try_again());
                    else
                        request_cancel(open.entry, request);
                });
 }
 
-void JobRequestHandler::request_cancel(const kvstore::Entry& open, PendingRequest request) {
-    if (wire::flag_field(open.value, "unwanted").value_or(false)) {
-        request.respond(busy());
+void JobRequestHandler::request_cancel(const kvstore::Entry& open, const PendingRequest& request) {
+    if (wire::flag_field(open.value, "unwanted").value_or(false)) {  // it is requested already
+        request.respond(try_again());
         return;
     }
     kvstore::Transaction transaction;
@@ -258,26 +262,25 @@
                       if (reply.status == kvstore::Status::conflict)
                           cancel(request);
                       else if (reply.status != kvstore::Status::ok ||
-                               pending_cancellations_ >= kMostAwaited || time_left(request) <= 0)
-                          request.respond(busy());
+                               pending_cancellations_ >= kMaxPendingCancellations ||
+                               time_left(request) <= 0)
+                          request.respond(try_again());
                       else
                           await_job_end(reply.revision, request);
                   });
 }
 
-// Mostly it takes some messages only.
-void JobRequestHandler::await_job_end(std::uint64_t revision, PendingRequest request) {
+// Usually a job ends after a few messages.
+void JobRequestHandler::await_job_end(std::uint64_t revision, const PendingRequest& request) {
     ++pending_cancellations_;
-    store_.watch(jobs::job_key(request.job_id), revision, std::min(kEndWait, time_left(request)),
+    store_.watch(jobs::job_key(request.job_id), revision,
+                 std::min(kJobEndTimeout, time_left(request)),
                  [this, request](Millis, const kvstore::ListReply& reply) {
                      --pending_cancellations_;
-                     for (const kvstore::Entry& entry : reply.entries) {
-                         if (entry.deleted || entry.key != jobs::job_key(request.job_id)) continue;
-                         const auto status = decode_recorded_status(entry.value, entry.version);
-                         if (status && status->final)
-                             return respond_with_recorded_status(*status, request);
-                     }
-                     request.respond(busy());
+                     if (const auto status = find_final_status(reply.entries, request.job_id))
+                         respond_with_recorded_status(*status, request);
+                     else
+                         request.respond(try_again());
                  });
 }
 
--- a/src/api/job_store.h
+++ b/src/api/job_store.h
@@ -1,6 +1,7 @@
-// What users' requests need of the state service. Every call is answered once, later, with the time
-// of its answer; a call with a `wait` is answered by then.
+/// @file
+/// What requests of users need of the key-value store.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <string>
 
@@ -9,22 +10,28 @@
 
 namespace nickelramp::api {
 
+/// Of the keys of jobs' records; jobs::job_key appends the job's id.
+inline constexpr const char* kJobPrefix = "job/";
+
+/// The key-value store as this module sees it. Implemented by ConfirmedReadsDriver, and by the
+/// tests' simulations. Each call gives one reply, later, on the loop's thread, with the time in
+/// milliseconds at which it came; a call with a `timeout` (milliseconds) gives it by then.
 class JobStore {
   public:
     template <typename Reply>
-    using Done = std::function<void(Millis, const Reply&)>;
+    using Done = std::function<void(Millis now, const Reply&)>;
 
     virtual ~JobStore() = default;
-    virtual void get(const std::string& key, Millis wait, Done<kvstore::GetReply> done) = 0;
-    // All changes under the prefix after that revision, and the revision that they lead to.
-    virtual void changes(const std::string& prefix, std::uint64_t after,
+    virtual void get(const std::string& key, Millis timeout, Done<kvstore::GetReply> done) = 0;
+    /// All changes under the prefix after the revision, and the revision that they lead to.
+    virtual void changes(const std::string& prefix, std::uint64_t after_revision,
                          Done<kvstore::ListReply> done) = 0;
-    // Something at or after the present revision, as a place to begin.
+    /// A revision that is current or later than the call, from which changes can be read.
     virtual void revision(Done<kvstore::ListReply> done) = 0;
-    virtual void commit(const kvstore::Transaction& transaction, Millis wait,
+    virtual void commit(const kvstore::Transaction& transaction, Millis timeout,
                         Done<kvstore::CommitReply> done) = 0;
-    // The next change under the prefix after that revision; nothing if none comes in that time.
-    virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait,
+    /// The next changes under the prefix after the revision; none if none come in time.
+    virtual void watch(const std::string& prefix, std::uint64_t after_revision, Millis timeout,
                        Done<kvstore::ListReply> done) = 0;
 };
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -71,17 +71,14 @@
                      [this](const char* request, int status, Millis took) {
                          metrics_.record_answer(request, status, static_cast<double>(took));
                      },
-                     [this](const std::string& id, std::uint64_t& done, std::uint64_t& running) {
+                     [this](const std::string& id) {
                          if (control_loop_) {
-                             auto p = control_loop_->progress(id);
-                             done = p.done;
-                             running = p.running;
-                             return p.known;
+                             const auto progress = control_loop_->progress(id);
+                             return api::TaskCounts{progress.done, progress.running};
                          }
-                         auto it = displayed_progress_.find(id);
-                         if (it == displayed_progress_.end()) return false;
-                         std::tie(done, running) = it->second;
-                         return true;
+                         const auto it = displayed_progress_.find(id);
+                         if (it == displayed_progress_.end()) return api::TaskCounts{};
+                         return api::TaskCounts{it->second.first, it->second.second};
                      }}),
       election_(loop, state_client_, settings.name, seed_of(settings.name),
                 {[this](std::uint64_t term, std::uint64_t version) { on_elected(term, version); },
