--- a/src/base/deadline_queue.h
+++ b/src/base/deadline_queue.h
@@ -1,6 +1,6 @@
 /// @file
-/// When each of many things, named by a dense index, is to be looked at next. A timer tick then
-/// costs what is due and not what there is.
+/// A queue of deadlines for entities that are identified by dense indices. The cost of a timer tick
+/// depends on the number of due deadlines, not on the number of entities.
 #pragma once
 #include <compare>
 #include <set>
@@ -11,11 +11,11 @@
 
 namespace nickelramp {
 
-/// At most one deadline for each index, the earliest that was asked for. Times are passed by the
-/// caller.
+/// Keeps at most one deadline for each index, the earliest that was scheduled. Reads no clock; the
+/// caller passes the time.
 class DeadlineQueue {
   public:
-    /// Sets the deadline of the index, unless it has an earlier one. kNever sets none.
+    /// Sets the deadline of the index, unless it already has an earlier one. kNever has no effect.
     void schedule(Index index, Millis at) {
         if (at >= kNever) return;
         if (index >= deadlines_.size()) deadlines_.resize(index + 1, kNever);
@@ -32,8 +32,8 @@
         deadlines_[index] = kNever;
     }
 
-    /// Removes the earliest deadline that is due and returns its index, the lowest of those with
-    /// the same deadline; kNone when none is due.
+    /// Removes the earliest due deadline and returns its index; the lowest index if several have
+    /// the same deadline. Returns kNone if no deadline is due.
     [[nodiscard]] Index pop_due(Millis now) {
         if (queue_.empty() || queue_.begin()->at > now) return kNone;
         const Index index = queue_.begin()->index;
@@ -49,7 +49,7 @@
     };
 
     std::set<Deadline> queue_;
-    std::vector<Millis> deadlines_;  // by index; kNever: none
+    std::vector<Millis> deadlines_;  // by index; kNever: no deadline
 };
 
 }  // namespace nickelramp
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,34 +1,34 @@
 /// @file
-/// Time inside a process: milliseconds of its steady clock. Decisions never read a clock; whoever
-/// calls them passes the time, so that a simulation can run them under a clock of its own.
+/// Time inside a process: milliseconds of its steady clock. Decision code never reads a clock; the
+/// caller passes the time, so that simulations can run it with a simulated clock.
 #pragma once
 #include <cstdint>
 
 namespace nickelramp {
 
-/// A moment of the steady clock, or a duration, in milliseconds. A process compares only moments of
-/// its own clock.
+/// A time point of the steady clock, or a duration, in milliseconds. Only time points of the same
+/// process are comparable.
 using Millis = std::int64_t;
 
-/// Later than every moment that occurs; durations can be added to it without overflow.
+/// Later than any time point that occurs. Durations can be added to it without overflow.
 inline constexpr Millis kNever = INT64_MAX / 4;
 
-/// The duration of so many seconds, rounded towards zero to whole milliseconds.
+/// Converts seconds to milliseconds, rounding towards zero.
 [[nodiscard]] inline Millis seconds(double duration_s) {
     return static_cast<Millis>(duration_s * 1000.0);
 }
 
-// Two steady clocks drift apart by at most 0.05%; twice that (a thousandth) and 20 ms leave room
-// for rounding and for the granularity of timers.
+// Two steady clocks are assumed to drift apart by at most 0.05%. The margin is twice that (1/1000)
+// plus 20 ms for rounding and timer granularity.
 inline constexpr Millis kDriftDivisor = 1000;
 inline constexpr Millis kDriftAllowance = 20;
 
-/// The longest that a duration measured by another clock may last by this one.
+/// Returns the upper bound, on this process's clock, of a duration measured on another clock.
 [[nodiscard]] inline Millis with_clock_drift(Millis duration) {
     return duration + duration / kDriftDivisor + kDriftAllowance;
 }
 
-/// The shortest that a duration measured by another clock may last by this one.
+/// Returns the lower bound, on this process's clock, of a duration measured on another clock.
 [[nodiscard]] inline Millis without_clock_drift(Millis duration) {
     return duration - duration / kDriftDivisor - kDriftAllowance;
 }
