--- a/src/jobs/cluster_owned.h
+++ b/src/jobs/cluster_owned.h
@@ -1,5 +1,5 @@
 /// @file
-/// Fields of jobs, attempts and machines that only the cluster state changes.
+/// The type of those fields of jobs, attempts and machines that only the cluster state changes.
 #pragma once
 #include "base/owned_value.h"
 
@@ -9,7 +9,8 @@
 
 namespace nickelramp::jobs {
 
-/// Readable by all, changed by cluster::ClusterState alone, which keeps sums and indices over it.
+/// A value that only cluster::ClusterState can change, which keeps totals and indices derived from
+/// it.
 template <typename T>
 using ClusterOwned = OwnedValue<T, cluster::ClusterState>;
 
--- a/src/jobs/job_keys.h
+++ b/src/jobs/job_keys.h
@@ -1,11 +1,10 @@
 /// @file
 /// Keys of a job's records in the key-value store:
 ///
-///     job/<id>          the status that its user reads; final ones are kept for good
-///     open/<id>         the description, from acceptance until no task of it can run anywhere
-///     run/<id>/<chunk>  the checkpoint of kChunkTasks tasks: which are done, and where each
-///     attempt
-///                       may be
+///     job/<id>          the status shown to the user; a final status is kept permanently
+///     open/<id>         the description, from acceptance until no task can be running anywhere
+///     run/<id>/<chunk>  the checkpoint of kChunkTasks tasks: which are done, and on which
+///                       machine an attempt of each may be running
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,23 +12,25 @@
 
 namespace nickelramp::jobs {
 
-/// Tasks in one run record; task t is in chunk t / kChunkTasks.
+/// The number of tasks in one run record. Task t is in chunk t / kChunkTasks.
 inline constexpr std::uint32_t kChunkTasks = 64;
 
 [[nodiscard]] std::string job_key(const std::string& id);
 [[nodiscard]] std::string open_key(const std::string& id);
 [[nodiscard]] std::string run_key(const std::string& id, std::uint32_t chunk);
 
-/// "open/job-1" -> "job-1"; empty when the key has another form.
+/// Returns the job id of an open key ("open/job-1" -> "job-1"), or an empty string if the key is
+/// not a valid open key.
 [[nodiscard]] std::string job_id_of_open_key(const std::string& key);
 
-/// What the key of a run record names.
+/// The parts of a run record's key.
 struct RunKey {
     std::string job_id;
     std::uint32_t chunk = 0;
 };
 
-/// "run/job-1/2" -> {"job-1", 2}; nothing when the key has another form.
+/// Parses a run key ("run/job-1/2" -> {"job-1", 2}). Returns std::nullopt if the key is not a valid
+/// run key.
 [[nodiscard]] std::optional<RunKey> parse_run_key(const std::string& key);
 
 }  // namespace nickelramp::jobs
--- a/src/jobs/job_records.h
+++ b/src/jobs/job_records.h
@@ -1,6 +1,6 @@
 /// @file
-/// The contents of a job's records in the key-value store (their keys: jobs/job_keys.h). The field
-/// names in the encoded JSON are a stored format and differ from the names here.
+/// The contents of a job's records in the key-value store; jobs/job_keys.h defines their keys. The
+/// field names in the encoded JSON are a stored format and differ from the C++ names.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -15,34 +15,34 @@
 struct OpenRecord {
     wire::JobSpec spec;
     std::int64_t accepted_wall_ms = 0;  // milliseconds of the wall clock
-    bool cancelled = false;             // and its user was told so at once, as earlier versions did
-    bool cancel_requested = false;      // its user is told when nothing of it is left
+    bool cancelled = false;             // reported to the user at once, as earlier versions did
+    bool cancel_requested = false;      // reported to the user once no task is left
 };
 
-/// `spec` is the job's description as its user sent it.
+/// Encodes an open record. `spec` is the job's description as the user submitted it.
 [[nodiscard]] wire::Json encode_open_record(const wire::Json& spec, std::int64_t accepted_wall_ms,
                                             bool cancelled);
 
-/// Nothing when there is no valid description in it.
+/// Returns std::nullopt if the value contains no valid job description.
 [[nodiscard]] std::optional<OpenRecord> decode_open_record(const wire::Json& value);
 
 /// One task of a run record.
 struct RunEntry {
     std::uint32_t task = 0;
-    std::uint32_t attempt = 0;  // its number, from 1
-    bool started = false;       // its start may have been sent; otherwise the attempt is over
-    std::string machine;        // only if started
+    std::uint32_t attempt = 0;  // attempt number, from 1
+    bool started = false;       // the start may have been sent; if false, the attempt has ended
+    std::string machine;        // set only if started
 };
 
 /// The record run/<id>/<chunk>.
 struct RunRecord {
-    std::uint64_t done = 0;  // a bit for each task of the chunk
+    std::uint64_t done = 0;  // bit mask of the chunk's completed tasks
     std::vector<RunEntry> entries;
 };
 
 [[nodiscard]] wire::Json encode_run_record(const RunRecord& record);
 
-/// Nothing when the value has another form.
+/// Returns std::nullopt if the value is not a valid run record.
 [[nodiscard]] std::optional<RunRecord> decode_run_record(const wire::Json& value);
 
 }  // namespace nickelramp::jobs
--- a/src/jobs/resource_need.h
+++ b/src/jobs/resource_need.h
@@ -1,19 +1,19 @@
 /// @file
-/// What a task needs of a machine, and whether that fits.
+/// The resources that a task needs, and the test whether they fit into free capacity.
 #pragma once
 
 namespace nickelramp::jobs {
 
 /// Resources of one task.
 struct Need {
-    double cpus = 0, gpus = 0;  // may be fractions
+    double cpus = 0, gpus = 0;  // may be fractional
     double memory_gb = 0;
 };
 
-/// Sums of decimal amounts are off in their last bits: less than this is no difference.
+/// Tolerance for rounding errors in sums of fractional amounts. Smaller differences are ignored.
 inline constexpr double kFitTolerance = 1e-6;
 
-/// Does the need fit into what is free?
+/// Returns whether the need fits into the given free resources.
 [[nodiscard]] inline bool fits_within(double cpus, double gpus, double memory_gb,
                                       const Need& need) {
     return need.cpus <= cpus + kFitTolerance && need.gpus <= gpus + kFitTolerance &&
