--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -83,11 +83,10 @@
     std::uint64_t version = 0;          // of the record open/<id>
 
     // --- cost, by the demand forecast
-    std::vector<RelativeCost> relative_cost;  // by machine type
-    std::vector<std::uint32_t>
-        slots_by_type;            // number of tasks that fit on an empty machine, by type
-    Index cheapest_type = kNone;  // of the types on which it fits and is allowed
-    double machine_share = 0;     // fraction of such a machine that a task uses
+    std::vector<RelativeCost> relative_cost;   // by machine type
+    std::vector<std::uint32_t> slots_by_type;  // tasks that fit on an empty machine
+    Index cheapest_type = kNone;               // of the types on which it fits and is allowed
+    double machine_share = 0;                  // fraction of such a machine that a task uses
 
     // --- tasks and attempts
     ClusterOwned<JobState> state{JobState::open};
@@ -98,8 +97,7 @@
     ClusterOwned<std::uint32_t> live_attempts;
     ClusterOwned<std::uint32_t> running_attempts;      // live and reported as running
     ClusterOwned<std::uint32_t> unconfirmed_attempts;  // live, with a checkpoint not committed yet
-    ClusterOwned<std::uint32_t>
-        uncommitted_attempts;        // unconfirmed and in no transaction in flight
+    ClusterOwned<std::uint32_t> uncommitted_attempts;  // unconfirmed, in no transaction in flight
     std::uint32_t gang_attempt = 0;  // number of the current attempt of all members
     bool gang_broken = false;  // a member is gone; the others must end before the next attempt
 
