--- a/src/cluster/guaranteed_quota.cpp
+++ b/src/cluster/guaranteed_quota.cpp
@@ -11,7 +11,8 @@
     gpus_ += sign * job.spec.gpus * job.spec.tasks;
 }
 
-// A quota of 0 cpus or gpus says nothing of that resource; of both: the team has none.
+// A quota of 0 for cpus or for gpus means that this resource is not limited. If both are 0, the
+// team has no guaranteed quota.
 bool GuaranteedQuota::prefix_fits() const {
     if (team_.cpus <= 0 && team_.gpus <= 0) return false;
     return (team_.cpus <= 0 || cpus_ <= team_.cpus + jobs::kFitTolerance) &&
@@ -22,7 +23,7 @@
     auto [it, added] = jobs_.insert(&job);
     if (!added) return;
     if (std::next(it) == first_outside_) {
-        first_outside_ = it;  // update_prefix() decides about it
+        first_outside_ = it;  // update_prefix() decides whether it fits
     } else if (first_outside_ != jobs_.end() && ByAcceptance()(*first_outside_, &job)) {
         return;  // a job before it does not fit
     } else {
@@ -44,7 +45,7 @@
     update_prefix();
 }
 
-// Moves the end of the prefix back over jobs that fit no longer, then on over jobs that fit now.
+// Removes jobs that no longer fit from the end of the prefix, then appends jobs that now fit.
 void GuaranteedQuota::update_prefix() {
     while (first_outside_ != jobs_.begin() && !prefix_fits()) {
         --first_outside_;
--- a/src/cluster/guaranteed_quota.h
+++ b/src/cluster/guaranteed_quota.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which of a team's unfinished jobs are within its guaranteed quota.
+/// Tracks which of a team's unfinished jobs are within its guaranteed quota.
 #pragma once
 #include <set>
 #include <tuple>
@@ -10,18 +10,19 @@
 namespace nickelramp::cluster {
 
 /// A job is within its team's guaranteed quota if all its tasks fit into the quota together with
-/// those of the team's earlier unfinished jobs. So the jobs within it are a prefix of the team's
-/// jobs by acceptance; it is kept up to date with every job that comes or ends, and each job's flag
-/// Job::within_guaranteed_quota with it. Owned by ClusterState.
+/// those of the team's earlier unfinished jobs. The jobs within the quota are therefore a prefix of
+/// the team's jobs in order of acceptance. Every added or removed job updates the prefix and the
+/// flags Job::within_guaranteed_quota. Owned by ClusterState.
 class GuaranteedQuota {
   public:
     explicit GuaranteedQuota(const wire::Team& rule) : team_(rule), first_outside_(jobs_.end()) {}
     GuaranteedQuota(const GuaranteedQuota&) = delete;
     GuaranteedQuota& operator=(const GuaranteedQuota&) = delete;
 
-    /// Has no effect on a job that is in it.
+    /// Adds a job. Has no effect if it was added before.
     void add(jobs::Job& job);
-    /// Has no effect on a job that is not in it. A job is removed before it is destroyed.
+    /// Removes a job, which must happen before the job is destroyed. Has no effect if it was not
+    /// added.
     void remove(jobs::Job& job);
 
   private:
@@ -38,8 +39,8 @@
 
     wire::Team team_;
     JobSet jobs_;
-    JobSet::iterator first_outside_;  // the first job that does not fit; end: all fit
-    double cpus_ = 0, gpus_ = 0;      // of the jobs before it
+    JobSet::iterator first_outside_;  // the first job that does not fit; end if all fit
+    double cpus_ = 0, gpus_ = 0;      // total of the jobs before first_outside_
 };
 
 }  // namespace nickelramp::cluster
--- a/src/cluster/quota_reservations.cpp
+++ b/src/cluster/quota_reservations.cpp
@@ -8,7 +8,7 @@
 const Job* QuotaReservations::reserved_for(Index team) const {
     const Index gang = by_team_[team].gang;
     const Job* job = gang == kNone ? nullptr : jobs_by_index_[gang];
-    // The gang may have started or ended since, and its index may be another job's by now.
+    // The gang may have started or ended meanwhile, and its index may belong to another job.
     const bool waits =
         job != nullptr && job->team == team && job->is_gang() && job->unplaced_tasks() > 0;
     return waits ? job : nullptr;
--- a/src/cluster/quota_reservations.h
+++ b/src/cluster/quota_reservations.h
@@ -1,7 +1,7 @@
 /// @file
-/// Reserved quota. Small tasks of a team take whatever comes free within the team's quota, and a
-/// gang of the same team would wait for ever until all that it needs is free at once. So quota that
-/// comes free can be reserved for one gang of the team, for a limited time.
+/// Reservations of a team's quota for its gangs. A gang needs quota for all its tasks at once and
+/// would starve if smaller tasks of its team used all quota as it becomes free. Quota that becomes
+/// free can therefore be reserved for one gang of the team, for a limited time.
 #pragma once
 #include <vector>
 
@@ -11,29 +11,31 @@
 
 namespace nickelramp::cluster {
 
-/// For each team the gang for which quota is reserved, and since when. A team reserves for at most
-/// jobs::kMaxHoldBack in one go, whichever gangs that is for, and then pauses for kPause, in which
-/// its other jobs may use what came free. Owned by ClusterState, used by the scheduler.
+/// Stores for each team the gang for which quota is reserved, and since when. A team may reserve
+/// quota for at most jobs::kMaxHoldBack without interruption, in total over all gangs. Then it
+/// pauses for kPause, during which its other jobs may use the free quota. Owned by ClusterState,
+/// used by the scheduler.
 class QuotaReservations {
   public:
-    /// `jobs_by_index` is the list of all jobs (null: the index is free) and must live longer.
+    /// `jobs_by_index` lists all jobs (null: the index is free) and must outlive this object.
     explicit QuotaReservations(const std::vector<jobs::Job*>& jobs_by_index)
         : jobs_by_index_(jobs_by_index) {}
 
-    /// Teams are added in the order of their indices.
+    /// Adds a team. Teams are added in the order of their indices.
     void add_team() { by_team_.emplace_back(); }
 
-    /// The gang for which the team's quota is reserved; null if there is none that still waits.
+    /// Returns the waiting gang for which the team's quota is reserved; null if there is none.
     [[nodiscard]] const jobs::Job* reserved_for(Index team) const;
-    /// May the team reserve now, or does it pause?
+    /// Returns whether the team may reserve quota now, that is, whether it is not in a pause.
     [[nodiscard]] bool may_reserve(Index team, Millis now) const;
-    /// Reserves for the gang, unless its team pauses or reserves for one accepted earlier.
+    /// Reserves quota for the gang, unless its team is in a pause or has a reservation for a gang
+    /// that was accepted earlier.
     void reserve(const jobs::Job& gang, Millis now);
-    /// Ends the reservation if it is for this gang; another may follow in the time that is left.
+    /// Ends the reservation if it is for this gang. Another gang may use the remaining time.
     void release(const jobs::Job& gang);
-    /// The same, and the team's pause begins.
+    /// Ends the reservation and starts the team's pause, if the reservation is for this gang.
     void pause(const jobs::Job& gang, Millis now);
-    /// Ends the reservations whose time is over. Called before every pass of the scheduler.
+    /// Ends expired reservations. Called before every scheduler pass.
     void expire(Millis now);
 
   private:
@@ -41,7 +43,7 @@
 
     struct Reservation {
         Index gang = kNone;
-        Millis since = -kNever;  // the team began to reserve, perhaps for another gang
+        Millis since = -kNever;  // start of the reservation period, maybe for another gang
     };
 
     const std::vector<jobs::Job*>& jobs_by_index_;
--- a/src/cluster/release_reason.h
+++ b/src/cluster/release_reason.h
@@ -1,25 +1,26 @@
 /// @file
-/// Why a machine is released; for the log.
+/// Reasons for which a machine is released, for log messages.
 #pragma once
 
 namespace nickelramp::cluster {
 
 enum class ReleaseReason {
-    unresponsive,        ///< neither heartbeats nor replies for too long
-    unknown_token,       ///< its heartbeat shows a token that was never given out
+    unresponsive,        ///< no heartbeat or reply was received for too long
+    unknown_token,       ///< its heartbeat shows a token that was never issued
     never_booted,        ///< not listed as running within its boot time
-    never_reported,      ///< listed as running, but it sent no heartbeat
-    known_from_records,  ///< only records name it
-    commands_lost,       ///< its heartbeats arrive, commands do not reach it
-    idle,                ///< not needed any more
-    drained,             ///< its tasks have left it
-    preempted,           ///< the cloud takes it back
-    released_earlier,    ///< an earlier term had begun to release it
+    never_reported,      ///< listed as running, but no heartbeat was received
+    known_from_records,  ///< known only from records
+    commands_lost,       ///< heartbeats arrive, but commands do not reach it
+    idle,                ///< no longer needed
+    drained,             ///< was drained and has no tasks left
+    preempted,           ///< being preempted by the cloud
+    released_earlier,    ///< an earlier term began to release it
     failed,              ///< the cloud lists it as failed
-    fails_tasks,         ///< tasks of several jobs ended in error on it
+    fails_tasks,         ///< tasks of several jobs failed on it
 };
 
-/// What is the case with the machine, to follow "machine=NAME".
+/// Returns the reason as a predicate that completes a sentence about the machine, such as "is
+/// idle".
 [[nodiscard]] const char* describe(ReleaseReason reason);
 
 }  // namespace nickelramp::cluster
--- a/src/cluster/service_gateway.h
+++ b/src/cluster/service_gateway.h
@@ -1,6 +1,7 @@
 /// @file
-/// What the parts of a term ask of other processes: the key-value store, workers and the cloud.
-/// LiveServiceGateway sends it; tests put a simulated environment behind it.
+/// The interface through which the parts of a term call other services: the key-value store,
+/// workers and the cloud. LiveServiceGateway implements it; tests implement it with a simulated
+/// environment.
 #pragma once
 #include <functional>
 #include <optional>
@@ -15,24 +16,24 @@
 
 namespace nickelramp::cluster {
 
-/// What became of a message to a worker.
+/// The delivery status of a message to a worker.
 enum class DeliveryStatus {
     delivered,  ///< the worker replied
-    refused,    ///< it certainly did not arrive
-    unknown,    ///< it may have arrived, or may arrive yet
+    refused,    ///< the message certainly did not arrive
+    unknown,    ///< the message may have arrived or may still arrive
 };
 
 /// A worker's reply to commands.
 struct CommandReply {
     DeliveryStatus delivery = DeliveryStatus::unknown;
-    bool executed =
-        false;  // status 200; otherwise 409: it has a higher token or another incarnation
+    // True for status 200; false for 409: the worker has a higher token or another incarnation.
+    bool executed = false;
     std::optional<wire::Heartbeat> heartbeat;  // the worker's state after the commands
 };
 
-/// Every request calls its callback once, later and never from within the call, with the time of
-/// the reply in milliseconds of the steady clock; not at all once the term has ended. Failures are
-/// values of the reply.
+/// All requests are asynchronous: the callback is called once, never from within the request, with
+/// the time of the reply on the steady clock. It is not called after the term has ended. Failures
+/// are reported as values of the reply.
 class ServiceGateway {
   public:
     template <typename Reply>
@@ -53,18 +54,18 @@
                                const std::vector<wire::Command>& commands,
                                Callback<CommandReply> done) = 0;
 
-    /// Asks the cloud for `count` machines. A request that is repeated under the same name is
-    /// executed once.
+    /// Requests `count` machines from the cloud. The request's name makes it idempotent: repeated
+    /// requests with the same name are executed once.
     virtual void provision_machines(const std::string& request, const std::string& type,
                                     const std::string& zone, bool spot, std::uint32_t count,
                                     Callback<cloud::ProvisionReply> done) = 0;
-    /// Releases machines; the callback gets true when the cloud has confirmed that they are gone.
+    /// Releases machines. The callback gets true if the cloud has confirmed that they are gone.
     virtual void release_machines(const std::vector<std::string>& machines,
                                   std::function<void(Millis, bool)> done) = 0;
 
-    /// A transaction failed because another process has the role by now, or none.
+    /// A transaction failed because another process or no process holds the role by now.
     virtual void on_role_fence_rejected(lease::Role role) = 0;
-    /// Another process leads, or holds the shard. The term is over.
+    /// The term has ended because another process leads or holds the shard.
     virtual void on_deposed(const std::string& why) = 0;
 };
 
--- a/src/cluster/term_context.h
+++ b/src/cluster/term_context.h
@@ -1,6 +1,6 @@
 /// @file
-/// What all parts of one term share: its number and settings, the conditions of its transactions,
-/// how long its lease is confirmed, and whether it is over.
+/// The state shared by all parts of one term: its number and settings, the conditions of its
+/// transactions, the confirmed end of its lease, and whether the term has ended.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -20,16 +20,16 @@
 /// Identity of a term.
 struct TermInfo {
     std::uint64_t number = 0;
-    std::string key;            // its record; transactions of the term name it as a condition
-    std::uint64_t version = 0;  // of that record for as long as the term lasts
+    std::string key;            // of the term's record, a condition of all its transactions
+    std::uint64_t version = 0;  // of that record, unchanged during the term
 };
 
-/// The leader acts for the whole cluster; a shard holder for the machines of one shard and the jobs
-/// that were delegated with it.
+/// The scope of a term: a leader controls the whole cluster; a shard holder controls the machines
+/// of one shard and the jobs delegated with it.
 enum class TermScope { whole_cluster, single_shard };
 
 /// Created by the controller when a term begins, and destroyed after all parts that refer to it.
-/// Settings and gateway must live longer. Used on the loop thread only.
+/// The settings and the gateway must outlive it. Used on the loop thread only.
 class TermContext {
   public:
     TermContext(const wire::Settings& settings, TermInfo info, TermScope scope,
@@ -45,15 +45,15 @@
 
     // --- the lease
 
-    /// Nothing new is started unless the term certainly still has its lease. A date and not a flag:
-    /// after a freeze of the process, events that waited are handled before the timer that would
-    /// clear a flag.
+    /// Returns whether the term certainly still holds its lease. Nothing new is started otherwise.
+    /// This compares time points instead of reading a flag that a timer clears: after a freeze of
+    /// the process, queued events would be handled before that timer.
     [[nodiscard]] bool lease_confirmed(Millis now) const { return now < lease_confirmed_until_; }
     void confirm_lease_until(Millis until) { lease_confirmed_until_ = until; }
 
     // --- roles
 
-    /// The fence of whoever has the role; 0: nobody is known to have it.
+    /// Returns the role's fence, which is the version of its record; 0 if no holder is known.
     [[nodiscard]] std::uint64_t role_fence(lease::Role role) const {
         return role_fences_[static_cast<std::size_t>(role)];
     }
@@ -63,15 +63,17 @@
 
     // --- the end of the term
 
-    /// Another process acts in its place: nothing is done any more.
+    /// Returns whether the term has ended because another process has replaced this one. No actions
+    /// are taken after that.
     [[nodiscard]] bool is_over() const { return over_; }
-    /// Ends the term and tells the gateway, the first time.
+    /// Ends the term and notifies the gateway. Has no effect if the term has already ended.
     void end(const std::string& why);
-    /// Has the machine seen a later term's token? Then the term ends. While a leader certainly has
-    /// its lease there can be no later term: such a heartbeat contradicts itself and ends nothing.
+    /// Returns whether the heartbeat shows the token of a later term, and ends this term in that
+    /// case. While a leader's lease is confirmed there can be no later term, so such a heartbeat is
+    /// invalid and does not end the term.
     bool superseded_by_token(const wire::Heartbeat& heartbeat, Millis now);
-    /// Did the transaction fail because the record of the term, or of the shard that it holds, has
-    /// changed? Then the term ends.
+    /// Returns whether the transaction failed because the record of the term, or of the shard that
+    /// it holds, has changed, and ends the term in that case.
     bool check_superseded(const kvstore::CommitReply& reply);
     /// Wraps a callback so that it does nothing once this object is destroyed.
     template <typename Callback>
@@ -84,13 +86,15 @@
 
     // --- conditions of transactions
 
-    /// The record of the shard that a shard holder has; its transactions name it too.
+    /// Sets the condition on the record of a shard holder's shard, which is added to all its
+    /// transactions.
     void set_shard_condition(kvstore::Condition shard) { shard_condition_ = std::move(shard); }
-    /// Of every transaction of the term.
+    /// Returns the conditions of every transaction of the term.
     [[nodiscard]] std::vector<kvstore::Condition> conditions() const;
-    /// Of transactions for what is done under a role.
+    /// Returns the conditions of transactions that require a role.
     [[nodiscard]] std::vector<kvstore::Condition> conditions(lease::Role role) const;
-    /// Forgets the fences of roles that made the transaction fail, and tells the gateway.
+    /// Clears the fences of the roles whose conditions failed in the transaction, and notifies the
+    /// gateway.
     void note_rejected_role_fences(const kvstore::CommitReply& reply);
 
   private:
--- a/tests/quota_reservations_test.cpp
+++ b/tests/quota_reservations_test.cpp
@@ -1,4 +1,4 @@
-// Quota that is reserved for a gang: for whom, for how long, and when it may be reserved again.
+// Quota reservations: which gang gets one, how long it lasts, and when the team may reserve again.
 #include "cluster/quota_reservations.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
         reservations.add_team();
     }
 
-    // A gang of two tasks that waits for its slots.
+    // Adds a gang of two tasks that is waiting for slots.
     Job& add_gang(Index team, Millis accepted_at) {
         auto gang = std::make_unique<Job>();
         gang->spec.shape = wire::Shape::gang;
@@ -53,7 +53,7 @@
     reservations.reserve(of_other_team, 1000);
     EXPECT_EQ(reservations.reserved_for(1), &of_other_team);
     reservations.release(late);
-    EXPECT_EQ(reservations.reserved_for(0), &early) << "it is not late's";
+    EXPECT_EQ(reservations.reserved_for(0), &early) << "the reservation belongs to the other gang";
     reservations.release(early);
     EXPECT_EQ(reservations.reserved_for(0), nullptr);
 }
@@ -65,14 +65,14 @@
     EXPECT_EQ(reservations.reserved_for(0), nullptr);
     jobs_by_index[gang.index] = nullptr;
     EXPECT_EQ(reservations.reserved_for(0), nullptr);
-    // Its index is a job's of another team by now.
+    // The index now belongs to a job of another team.
     Job& other = add_gang(1, 300);
     jobs_by_index[gang.index] = &other;
     EXPECT_EQ(reservations.reserved_for(0), nullptr);
 }
 
-// Whichever gangs the team reserves for, the time of all of them together is limited: it would
-// withhold quota from its other jobs for ever.
+// The total reservation time of a team is limited, regardless of the gangs. Otherwise consecutive
+// reservations could withhold quota from its other jobs forever.
 TEST_F(QuotaReservationsTest, ATeamReservesForALimitedTimeAndThenPauses) {
     const Job& first = add_gang(0, 100);
     const Job& second = add_gang(0, 200);
@@ -86,7 +86,7 @@
     reservations.expire(end + 1);
     EXPECT_EQ(reservations.reserved_for(0), nullptr);
     reservations.reserve(second, end + kPause);
-    EXPECT_EQ(reservations.reserved_for(0), nullptr) << "the team pauses";
+    EXPECT_EQ(reservations.reserved_for(0), nullptr) << "the team is in its pause";
     EXPECT_FALSE(reservations.may_reserve(0, end + kPause));
     EXPECT_TRUE(reservations.may_reserve(0, end + kPause + 1));
     reservations.reserve(second, end + kPause + 1);
