--- a/src/cluster/cluster_attempt_ends.cpp
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -1,4 +1,4 @@
-// How attempts are stopped and end. Every end passes the job's dependencies.
+// ClusterState: stopping and ending attempts. Every end is submitted to the job's dependencies.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 
 namespace {
 
-// A job whose tasks end in error on several machines is put on trial: it runs one task at a time,
-// and waits between the begin of one and the next for twice as long each time.
+// A job whose tasks fail on several machines is put on trial: it runs one task at a time, with a
+// back-off between the starts of consecutive tasks that doubles each time.
 constexpr Millis kFirstBackoff = 10'000;
 constexpr Millis kLongestBackoff = jobs::kMaxHoldBack * 3 / 4;
-constexpr Millis kShortestBackoff = kFirstBackoff / 2;  // from the end of a task
-constexpr std::uint32_t kMostDoublings = 6;
+constexpr Millis kShortestBackoff = kFirstBackoff / 2;  // counted from the end of a task
+constexpr std::uint32_t kMaxBackoffDoublings = 6;
 
-constexpr Millis kProbation = 30'000;           // of a machine on which a task ended in error
+constexpr Millis kProbation = 30'000;           // of a machine on which a task failed
 constexpr Millis kMismatchProbation = 3'000;    // of a machine that rejected a task
-constexpr std::size_t kMachinesToBlameJob = 3;  // on so many a job has failed
-constexpr std::size_t kJobsToBlameMachine = 2;  // so many have failed on a machine
-constexpr double kSaveMarginS = 1.0;            // seconds beyond the job's own time to save
+constexpr std::size_t kMachinesToBlameJob = 3;  // failures until a job is put on trial
+constexpr std::size_t kJobsToBlameMachine = 2;  // failed jobs until a machine is released
+constexpr double kSaveMarginS = 1.0;            // added to the job's own time to save
 
 bool contains(const std::vector<Index>& list, Index index) {
     return std::find(list.begin(), list.end(), index) != list.end();
@@ -45,7 +45,8 @@
     remove_job(id);
 }
 
-// The worker reports that it has exited. It stays listed until the worker has forgotten it.
+// Applies the worker's report that the attempt has exited. The attempt is kept until the worker no
+// longer lists it.
 void ClusterState::attempt_exited(Attempt& attempt, ExitCause cause, Millis now) {
     if (!attempt.live()) return;
     Job& job = job_of(attempt);
@@ -63,7 +64,7 @@
     } else if (cause == ExitCause::unknown) {
         job.backoff_until = now + kShortestBackoff;
     } else if ((cause == ExitCause::no_room || cause == ExitCause::busy) && machine != nullptr) {
-        // What is free there differs from what is known here; the next heartbeat settles it.
+        // The worker has less free capacity than assumed here. The next heartbeat corrects this.
         machine->probation_until = std::max(machine->probation_until, now + kMismatchProbation);
     }
     attempt_finished(job, attempt, now);
@@ -77,11 +78,11 @@
         job.mark_done(attempt.task);
         return;
     }
-    // The members of a gang complete together: if one is done, all are.
+    // The members of a gang complete together. If one is done, all are.
     for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.mark_done(task);
 }
 
-// The attempt takes no resources any more.
+// Handles the end of an attempt, which no longer uses any resources.
 void ClusterState::attempt_finished(Job& job, Attempt& attempt, Millis now) {
     if (attempt.end_event != kNone) {
         job.dependencies.submit(attempt.end_event);
@@ -118,7 +119,7 @@
 void ClusterState::request_stop(Attempt& attempt, double grace_s, Millis now) {
     if (!attempt.live()) return;
     if (attempt.state == AttemptState::recording || attempt.state == AttemptState::recorded) {
-        attempt_gone(attempt, now);  // it was never sent
+        attempt_gone(attempt, now);  // its start command was never sent
         return;
     }
     if (attempt.stop_wanted && attempt.stop_grace_s <= grace_s) return;
@@ -131,11 +132,12 @@
 void ClusterState::stop_all_attempts(Job& job, Millis now) { stop_each_attempt(job, 0, now); }
 
 void ClusterState::stop_each_attempt(Job& job, double grace_s, Millis now) {
-    // A member of a gang that was never sent is gone at once, which would break the gang and end
-    // the others within this loop; it would go on with attempts that are destroyed.
+    // A gang member whose start command was never sent is gone at once. Without this flag that
+    // would break the gang and end its other members inside the loop below, which would then
+    // continue with destroyed attempts.
     if (job.is_gang() && job.state == JobState::open && job.live_attempts > 0)
         job.gang_broken = true;
-    // Attempts that were never sent leave the list at once: go through a copy.
+    // Iterate over a copy: attempts whose start command was never sent leave the list at once.
     std::vector<Attempt*> attempts;
     attempts.reserve(job.attempts.size());
     for (const auto& attempt : job.attempts) attempts.push_back(attempt.get());
@@ -158,8 +160,8 @@
         checkpoint_and_stop(attempt, now);
 }
 
-// A member is gone: the others cannot complete, so the attempt ends as a whole. Those that are
-// saving in an orderly stop go on.
+// Stops the gang's other members after one is gone, because they cannot complete without it.
+// Members that are saving their progress in an orderly stop may continue.
 void ClusterState::break_gang(Job& job, Millis now) {
     job.gang_broken = true;
     std::vector<Attempt*> to_stop;
@@ -170,20 +172,20 @@
     for (Attempt* attempt : to_stop) request_stop(*attempt, 0, now);
 }
 
-// Which is at fault, the machine or the job? A machine on which several jobs fail is; a job that
-// fails on several machines is.
+// Decides whether the machine or the job is at fault: a machine on which several jobs fail, or a
+// job that fails on several machines.
 void ClusterState::record_task_error(Job& job, const Attempt& attempt, Machine& machine,
                                      Millis now) {
-    // A job that fails on the same machine each time that it is tried there again is at fault too:
-    // otherwise it would take the only slot from others for ever.
+    // A failure on a machine on which the job has failed before counts if the machine's probation
+    // has passed: such a job is at fault too and would otherwise occupy the only slot forever.
     const bool tried_again =
         job.failed_on.size() < kMachinesToBlameJob && now >= machine.probation_until;
     if (tried_again || !contains(job.failed_on, machine.index))
         job.failed_on.push_back(machine.index);
     if (!contains(machine.failed_jobs, job.index)) machine.failed_jobs.push_back(job.index);
     spdlog::info(
-        "job={} task={} failed on machine={}, machines that failed it: {}, jobs that "
-        "failed there: {}",
+        "job={} task={} failed on machine={}, failures of the job that count against it: {}, "
+        "jobs that failed on the machine: {}",
         job.spec.id, attempt.task, machine.name, job.failed_on.size(), machine.failed_jobs.size());
     if (job.failed_on.size() >= kMachinesToBlameJob) {
         put_on_trial(job, attempt, now);
@@ -195,14 +197,14 @@
 }
 
 void ClusterState::put_on_trial(Job& job, const Attempt& attempt, Millis now) {
-    // Counted from the begin of the attempt: an image that takes long to fetch does not make the
-    // back-off longer.
-    const Millis backoff =
-        std::min(kLongestBackoff, kFirstBackoff << std::min(job.backoff_count, kMostDoublings));
+    // The back-off counts from the placement of the attempt, so that a slow image fetch does not
+    // extend it.
+    const Millis backoff = std::min(
+        kLongestBackoff, kFirstBackoff << std::min(job.backoff_count, kMaxBackoffDoublings));
     job.backoff_until = std::max(attempt.placed_at + backoff, now + kShortestBackoff);
     ++job.backoff_count;
     job.on_trial = true;
-    // Its failures say nothing about the machines.
+    // The job's failures are no evidence against the machines.
     for (Index index : job.failed_on) {
         Machine* machine = registry_.by_index(index);
         if (machine == nullptr) continue;
--- a/src/cluster/cluster_attempts.cpp
+++ b/src/cluster/cluster_attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts from their placement on: states, resources and sums. Every start passes the job's
+// ClusterState: placement, states and resources of attempts. Every start is submitted to the job's
 // dependencies.
 #include <spdlog/spdlog.h>
 
@@ -10,14 +10,14 @@
 
 namespace {
 
-// A task that has run for so long shows that neither its job nor its machine is at fault.
-constexpr Millis kRunsWell = 5'000;
+// A task that has run for this long is evidence that neither its job nor its machine is at fault.
+constexpr Millis kMinHealthyRun = 5'000;
 
 bool runs(AttemptState state) {
     return state == AttemptState::running || state == AttemptState::saving;
 }
 
-// The state of an attempt that its worker reports as live.
+// Returns the state that corresponds to a phase reported by the worker.
 AttemptState state_of(wire::TaskPhase phase) {
     switch (phase) {
         case wire::TaskPhase::fetching:
@@ -94,8 +94,9 @@
     request_scheduling();
 }
 
-// A start comes after the acceptance, never after a cancellation, and only once every earlier
-// attempt of the task (of the whole gang, for a gang) is gone.
+// Adds the attempt's events to the job's dependencies and submits its start. A start must come
+// after the job's acceptance, not after its cancellation, and only once every earlier attempt of
+// the task (or of the whole gang) is gone. Returns whether the start was accepted.
 bool ClusterState::link_start_dependencies(Job& job, Attempt& attempt) {
     using Kind = dependencies::DependencyAutomata::Kind;
     auto& dependencies = job.dependencies;
@@ -104,7 +105,7 @@
     dependencies.add(Kind::order, job.accepted_event, attempt.start_event);
     dependencies.add(Kind::existence, attempt.start_event, job.accepted_event);
     dependencies.add(Kind::order, attempt.start_event, job.cancelled_event);
-    if (attempt.number != 1) {  // a first attempt has none before it
+    if (attempt.number != 1) {  // a first attempt has no predecessor
         for (const auto& other : job.attempts) {
             if (other.get() == &attempt || other->end_event == kNone) continue;
             const bool is_earlier =
@@ -193,13 +194,13 @@
         placement::mark_image_used(machine, types_[machine.type], job.image, job.spec.image_gb,
                                    task.phase != wire::TaskPhase::fetching, now);
     }
-    if (attempt.running_since != 0 && now - attempt.running_since > kRunsWell)
-        note_runs_well(job, machine);
+    if (attempt.running_since != 0 && now - attempt.running_since > kMinHealthyRun)
+        clear_failure_suspicion(job, machine);
 }
 
-// A task of the job has run on the machine for a while: the job is not at fault, and if it never
-// failed anywhere, the machine is not either.
-void ClusterState::note_runs_well(Job& job, Machine& machine) {
+// Called once a task of the job has run on the machine for kMinHealthyRun. The job is then not at
+// fault, and neither is the machine if the job never failed anywhere.
+void ClusterState::clear_failure_suspicion(Job& job, Machine& machine) {
     if (job.on_trial) {
         job.on_trial = false;
         request_scheduling();
--- a/src/cluster/cluster_jobs.cpp
+++ b/src/cluster/cluster_jobs.cpp
@@ -1,4 +1,4 @@
-// States of jobs, and how they leave the cluster state.
+// ClusterState: states, delegation and removal of jobs.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
--- a/src/cluster/cluster_loading.cpp
+++ b/src/cluster/cluster_loading.cpp
@@ -1,4 +1,4 @@
-// How jobs and their checkpoints enter the cluster state.
+// ClusterState: adding jobs and loading their checkpoints.
 #include <algorithm>
 #include <limits>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The tasks of a job of which its run records say anything.
+// The set of a job's tasks that are named by its run records.
 class NamedTasks {
   public:
     void add(std::uint32_t task) {
@@ -18,7 +18,7 @@
         named_[task] = 1;
     }
     [[nodiscard]] bool contains(std::uint32_t task) const { return named_[task] != 0; }
-    /// One more than the highest of them.
+    // One more than the highest task number in the set.
     [[nodiscard]] std::uint32_t end() const { return static_cast<std::uint32_t>(named_.size()); }
 
   private:
@@ -42,7 +42,7 @@
 void ClusterState::resolve_names(Job& job) {
     job.team = team_names_.find(job.spec.team);
     if (job.team == kNone) {
-        // Accepted under other settings: a team without a rule has no limit.
+        // The job was accepted under other settings. A team without a rule has no limit.
         add_team({job.spec.team});
         job.team = team_names_.find(job.spec.team);
     }
@@ -114,14 +114,14 @@
         if (!job.is_done(entry.task)) job.retry_tasks.push_back({entry.task, entry.attempt});
         return;
     }
-    if (registry_.is_tombstoned(entry.machine)) {  // gone meanwhile, with all on it
+    if (registry_.is_tombstoned(entry.machine)) {  // the machine and its attempts are gone
         if (!job.is_gang()) job.retry_tasks.push_back({entry.task, entry.attempt});
         return;
     }
     load_attempt(job, entry, token, now);
 }
 
-// The attempt may be on its machine: it counts until proven gone.
+// The attempt may still be on its machine, so it is treated as live until proven gone.
 void ClusterState::load_attempt(Job& job, const jobs::RunEntry& entry, std::uint64_t token,
                                 Millis now) {
     Machine* machine = add_machine(entry.machine, now);
@@ -136,22 +136,22 @@
     attempt->token = token;
     attempt->incarnation = std::numeric_limits<std::uint64_t>::max();
     if (machine->type != kNone) {
-        // Its image is likely there still, whatever has become of the task.
+        // The image is probably still on the machine, whatever happened to the task.
         placement::mark_image_used(*machine, types_[machine->type], job.image, job.spec.image_gb,
                                    true, now);
     }
-    // Whether the dependencies accept the start is no question: it may have happened.
+    // The result is ignored because the attempt may already have been started.
     static_cast<void>(link_start_dependencies(job, *attempt));
     append_attempt(job, *machine, std::move(attempt));
 }
 
 void ClusterState::finish_loading(Job& job) {
-    // A gang completes as a whole, of which the last leader may have recorded a part.
+    // A gang completes as a whole, but the previous leader may have recorded only part of it.
     if (job.is_gang() && job.completed_tasks > 0) {
         for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.mark_done(task);
     }
-    // Chunks are begun in order, and tasks within them: a task that no record names was never
-    // started, and there is none started after the last one that is named.
+    // Chunks, and the tasks in them, are started in order. So no task after the last named one was
+    // ever started, and neither was any task that no record names.
     const NamedTasks named = named_tasks(job);
     job.next_unstarted_task = named.end();
     for (std::uint32_t task = 0; task < named.end(); ++task) {
--- a/src/cluster/cluster_machines.cpp
+++ b/src/cluster/cluster_machines.cpp
@@ -1,4 +1,4 @@
-// Machines: identity, state, reachability, reservations, and how they leave the cluster state.
+// ClusterState: identity, state, reachability, reservations and removal of machines.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -18,18 +18,19 @@
         indices.erase(index);
 }
 
-// Sends heartbeats, or should.
+// Returns whether the machine is expected to send heartbeats.
 bool counts_as_up(const Machine& machine) {
     return machine.up_at != 0 && machine.zone != kNone && machine.state != MachineState::booting &&
            machine.state != MachineState::leased_out && machine.state != MachineState::gone;
 }
 
-// Can its tasks not be counted on? A worker that replies reach runs on with all that it has.
-bool is_out_of_reach(Reachability reachability) {
+// Returns whether tasks on a machine with this reachability cannot be relied on. A worker that
+// receives replies keeps its lease and goes on running its tasks.
+bool counts_as_unresponsive(Reachability reachability) {
     return reachability != Reachability::reachable && reachability != Reachability::replies_only;
 }
 
-// For the log; machines::name() gives the words of the administration pages.
+// For log messages. The names on administration pages are those of machines::name().
 const char* describe(Reachability reachability) {
     switch (reachability) {
         case Reachability::reachable:
@@ -83,7 +84,8 @@
     }
     machine.zone = zone_names_.add(zone);
     machine.spot = spot;
-    // Attempts of a checkpoint may have been counted before the type was known.
+    // These are increments because attempts loaded from a checkpoint may have been subtracted
+    // before the type was known.
     machine.cpus_free.mutable_value() += types_[machine.type].cpus;
     machine.gpus_free.mutable_value() += types_[machine.type].gpus;
     machine.memory_free.mutable_value() += types_[machine.type].memory_gb;
@@ -99,8 +101,8 @@
                        types_[machine.type].name, zone_names_.name(machine.zone));
 }
 
-// Brings the indices and sums over machines up to date after a change of the machine's state,
-// reachability or free resources, so that nobody needs to look at every machine.
+// Updates the indices and totals over machines after a change of the machine's state, reachability
+// or free resources, so that no reader has to iterate over all machines.
 void ClusterState::update_machine_indices(Machine& machine) {
     if (machine.accepts_tasks() && machine.type != kNone &&
         machine.cpus_free > placement::kFitTolerance)
@@ -120,12 +122,12 @@
     if (reachability == machine.reachability) return;
     spdlog::info("machine={} reachability {} -> {}", machine.name, describe(machine.reachability),
                  describe(reachability));
-    const bool was_out = is_out_of_reach(machine.reachability);
-    const bool is_out = is_out_of_reach(reachability);
+    const bool was_unresponsive = counts_as_unresponsive(machine.reachability);
+    const bool is_unresponsive = counts_as_unresponsive(reachability);
     machine.reachability.mutable_value() = reachability;
-    if (was_out != is_out) {
-        observer_.on_machine_counts_changed(machine.zone, 0, is_out ? 1 : -1);
-        set_membership(unresponsive_machines_, machine.index, is_out);
+    if (was_unresponsive != is_unresponsive) {
+        observer_.on_machine_counts_changed(machine.zone, 0, is_unresponsive ? 1 : -1);
+        set_membership(unresponsive_machines_, machine.index, is_unresponsive);
     }
     update_machine_indices(machine);
     request_scheduling();
@@ -187,11 +189,11 @@
         report_unhealthy(machine, reason);
         return;
     }
-    spdlog::info("machine={} is released: it {}", machine.name, describe(reason));
+    spdlog::info("machine={} is being released: it {}", machine.name, describe(reason));
     set_machine_state(machine, MachineState::releasing);
 }
 
-// Only the leader deals with the cloud: a shard holder drains the machine and reports it.
+// Only the leader releases machines in the cloud. A shard holder drains the machine and reports it.
 void ClusterState::report_unhealthy(Machine& machine, ReleaseReason reason) {
     const bool reported = std::find(unhealthy_machines_.begin(), unhealthy_machines_.end(),
                                     machine.name) != unhealthy_machines_.end();
@@ -205,7 +207,7 @@
 
 void ClusterState::drain_machine(Machine& machine, const std::string& why, Millis now) {
     if (machine.state != MachineState::ready && machine.state != MachineState::joining) return;
-    spdlog::info("machine={} is drained: it {}", machine.name, why);
+    spdlog::info("machine={} is being drained: it {}", machine.name, why);
     set_machine_state(machine, MachineState::draining);
     const std::vector<Attempt*> attempts = machine.attempts;
     for (Attempt* attempt : attempts) {
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -1,4 +1,4 @@
-// Queries, teams and machine types.
+// ClusterState: queries, teams and machine types.
 #include "cluster/cluster_state.h"
 
 #include "partition/partition_responder.h"
@@ -10,7 +10,7 @@
     : term_(term),
       observer_(observer),
       actions_(actions),
-      // An earlier leader may have gone on replying for a while after it lost the key-value store.
+      // An earlier leader may have renewed leases for a while after it lost the key-value store.
       inherited_leases_expire_at_(partition::last_possible_lease_end(term.settings(), now)) {
     for (const wire::Team& team : term.settings().teams) add_team(team);
     for (const std::string& zone : term.settings().zones) zone_names_.add(zone);
--- a/src/cluster/cluster_state.h
+++ b/src/cluster/cluster_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// The state of the cluster as one term knows it: jobs, attempts and machines.
+/// The state of the cluster in one term: jobs, attempts and machines.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -28,30 +28,31 @@
 using machines::Machine;
 using machines::MachineState;
 
-/// What a team uses of its quota: all live attempts, and all tasks of jobs that are delegated.
+/// A team's quota usage: all live attempts and all tasks of delegated jobs.
 struct TeamUsage {
     double cpus = 0, gpus = 0;
-    double array_cpus = 0, array_gpus = 0;  // of that, what arrays use
+    double array_cpus = 0, array_gpus = 0;  // the part used by arrays
 };
 
-/// Owns the jobs, attempts and machines of a term, and has the only functions that change their
-/// states, with all sums and indices over them. An attempt counts on its machine and for its team
-/// from its placement until it is proven gone.
+/// Owns the jobs, attempts and machines of a term. Only its functions change their states and the
+/// totals and indices derived from them. An attempt uses resources of its machine and quota of its
+/// team from its placement until it is proven gone.
 ///
-/// It decides nothing: the scheduler, the autoscaler, the control loop and the other parts of a
-/// term read it and call it. It owns no sockets and reads no clock; every function is called on the
-/// loop thread with the time. Functions do not fail, unless stated: what is passed must belong to
-/// it. Functions that end an attempt may destroy the attempt, and its job if that is finished.
+/// It makes no decisions: those are made by the scheduler, the autoscaler, the control loop and
+/// other parts of the term, which read and call it. It owns no sockets and reads no clock; every
+/// function is called on the loop thread and gets the time as an argument. Functions do not fail
+/// unless stated, and their arguments must belong to this object. Functions that end an attempt may
+/// destroy the attempt, and its job if that is finished.
 class ClusterState {
   public:
     using Jobs = std::unordered_map<std::string, std::unique_ptr<Job>>;
 
-    /// The references must live longer.
+    /// The referenced objects must outlive this object.
     ClusterState(TermContext& term, ClusterObserver& observer, ControlActions& actions, Millis now);
 
     // --- queries: names, types and teams
 
-    /// By type index; a type that the cloud does not list has a name only.
+    /// Machine types by type index. For a type that the cloud does not list only the name is set.
     [[nodiscard]] const std::vector<wire::MachineType>& types() const { return types_; }
     [[nodiscard]] const Names& type_names() const { return type_names_; }
     [[nodiscard]] const Names& zones() const { return zone_names_; }
@@ -62,39 +63,40 @@
     // --- queries: jobs
 
     [[nodiscard]] const Jobs& jobs() const { return jobs_; }
-    /// Null if there is none.
+    /// Returns the job with this id; null if there is none.
     [[nodiscard]] Job* job(const std::string& id) const;
-    /// Null if no job has the index now.
+    /// Returns the job that has the index now; null if there is none.
     [[nodiscard]] Job* job_by_index(Index index) const { return jobs_by_index_[index]; }
     [[nodiscard]] Job& job_of(const Attempt& attempt) const { return *jobs_by_index_[attempt.job]; }
-    /// Jobs with tasks that want a slot, in no order, and perhaps some that have just got the last.
+    /// Jobs with unplaced tasks, in no particular order. Until the next prune_pending_jobs() it may
+    /// list jobs that have none left.
     [[nodiscard]] const std::vector<Index>& pending_jobs() const { return pending_jobs_; }
-    /// The job's live attempts by zone.
+    /// Returns the number of the job's live attempts by zone.
     [[nodiscard]] std::vector<std::uint32_t> live_tasks_by_zone(const Job& job) const;
 
     // --- queries: machines
 
     [[nodiscard]] const machines::MachineRegistry& registry() const { return registry_; }
     [[nodiscard]] const std::vector<Machine*>& machines() const { return registry_.all(); }
-    /// Null if there is none.
+    /// Returns the machine with this name; null if there is none.
     [[nodiscard]] Machine* machine(const std::string& name) const { return registry_.find(name); }
-    /// Null once the machine is gone.
+    /// Returns null once the machine is gone.
     [[nodiscard]] Machine* machine_by_index(Index index) const { return registry_.by_index(index); }
-    /// Null once the machine is gone.
+    /// Returns null once the machine is gone.
     [[nodiscard]] Machine* machine_of(const Attempt& attempt) const {
         return attempt.machine == kNone ? nullptr : registry_.by_index(attempt.machine);
     }
     [[nodiscard]] bool is_tombstoned(const std::string& name) const {
         return registry_.is_tombstoned(name);
     }
-    /// Leases that earlier terms may have given to workers have expired by then.
+    /// By this time all leases that earlier terms may have granted to workers have expired.
     [[nodiscard]] Millis inherited_leases_expire_at() const { return inherited_leases_expire_at_; }
-    /// The machine's type and zone, for the log.
+    /// Returns the machine's price class, type and zone, for log messages.
     [[nodiscard]] std::string describe_kind(const Machine& machine) const;
     [[nodiscard]] const placement::FreeCapacityIndex& free_capacity() const {
         return free_capacity_;
     }
-    /// Machines that boot or join.
+    /// Machines that are booting or joining.
     [[nodiscard]] const std::set<Index>& provisioning_machines() const {
         return provisioning_machines_;
     }
@@ -104,23 +106,24 @@
     [[nodiscard]] const std::set<Index>& unresponsive_machines() const {
         return unresponsive_machines_;
     }
-    /// By zone, of those whose zone is known.
+    /// The number of machines in each zone, without those whose zone is unknown.
     [[nodiscard]] const std::vector<std::uint32_t>& machine_count_by_zone() const {
         return machine_count_by_zone_;
     }
-    /// Machines of a shard that the leader is to release; only a shard holder has any.
+    /// Unhealthy machines of the shard, which the leader is to release. Empty except for a shard
+    /// holder.
     [[nodiscard]] const std::vector<std::string>& unhealthy_machines() const {
         return unhealthy_machines_;
     }
     [[nodiscard]] std::size_t unverified_machine_count() const { return unverified_machine_count_; }
 
-    /// Does a heartbeat that does not list the attempt prove that it is gone? Not while a start of
-    /// it may still arrive.
+    /// Returns whether a heartbeat that does not list the attempt proves that it is gone. It does
+    /// not while a start command for the attempt may still arrive.
     [[nodiscard]] static bool absence_is_conclusive(const Attempt& attempt, const Machine& machine);
 
     // --- requests to the scheduler
 
-    /// Has anything changed on which placement depends?
+    /// Returns whether anything that affects placement has changed.
     [[nodiscard]] bool scheduling_needed() const { return scheduling_needed_; }
     void request_scheduling() { scheduling_needed_ = true; }
     void clear_scheduling_request() { scheduling_needed_ = false; }
@@ -140,38 +143,40 @@
     }
     void expire_quota_reservations(Millis now) { quota_reservations_.expire(now); }
 
-    // --- loading, and what enters while a term lasts
+    // --- loading, and additions during a term
 
     void set_machine_types(const std::vector<wire::MachineType>& types);
     Index intern_zone(const std::string& name) { return zone_names_.add(name); }
-    /// Adds a job that was accepted or is on record. `version`: of its record; `wall_ms`: the wall
-    /// clock's time at `now`.
+    /// Adds a job that was just accepted or was loaded from its open record.
+    /// @param version version of the record
+    /// @param wall_ms wall clock time at `now`
     Job& add_job(const jobs::OpenRecord& record, std::uint64_t version, std::int64_t wall_ms,
                  Millis now);
-    /// Applies a run record of the job. The attempts that it names count until proven gone; only a
-    /// heartbeat that shows a token higher than `token` can prove that.
+    /// Applies a run record of the job. The attempts that it names are treated as live until proven
+    /// gone. A heartbeat can prove that only if it shows a token higher than `token`.
     void load_checkpoint(Job& job, std::uint32_t chunk, const jobs::RunRecord& record,
                          std::uint64_t version, std::uint64_t token, Millis now);
-    /// Call after the last of its run records: finds the tasks that are still to be started.
+    /// Determines which tasks are still to be started. Call after the last load_checkpoint().
     void finish_loading(Job& job);
-    /// Forgets what its run records said, which are about to be loaded again.
+    /// Discards the state loaded from its run records, which are about to be loaded again.
     void reload_job(Job& job);
 
     // --- jobs
 
     void set_job_state(Job& job, jobs::JobState state);
-    /// Starts nothing more of it, and stops what may run.
+    /// Cancels the job: none of its tasks is started any more, and all live attempts are stopped.
     void cancel_job(Job& job, Millis now);
-    /// Adds the job to pending_jobs(), if it has tasks that want a slot.
+    /// Adds the job to pending_jobs() if it has unplaced tasks.
     void enqueue_job(Job& job);
-    /// Removes jobs from pending_jobs() that have none.
+    /// Removes jobs without unplaced tasks from pending_jobs().
     void prune_pending_jobs();
-    /// Destroys a finished job once no attempt of it is left on any machine.
+    /// Destroys the job if it is finished and none of its attempts is left on any machine.
     void remove_job(const std::string& id);
-    /// All its tasks count for its team until it is over or reclaimed.
+    /// Delegates the job to a shard holder. All its tasks count towards its team's usage until the
+    /// job has ended or is reclaimed.
     void delegate_job(Job& job, Index shard);
     void reclaim_job(Job& job);
-    /// The job is to be looked at again by then (JobLifecycle).
+    /// Schedules the next check of the job by JobLifecycle.
     void wake_at(const Job& job, Millis at) { job_deadlines_.schedule(job.index, at); }
     [[nodiscard]] std::vector<Index> take_due_jobs(Millis now) {
         return take_due(job_deadlines_, now);
@@ -179,64 +184,71 @@
 
     // --- attempts
 
-    /// Places a task on the machine. Null, and nothing changes, if the job's dependencies do not
-    /// accept the start: the job is cancelled, or an earlier attempt is not proven gone.
+    /// Places a task on the machine. Returns null and changes nothing if the job's dependencies
+    /// reject the start because the job is cancelled or an earlier attempt is not proven gone.
     Attempt* add_attempt(Job& job, std::uint32_t task, std::uint32_t number, Machine& machine,
                          Millis now);
-    /// The transaction under way with this number names the attempt.
+    /// Notes that the transaction in flight with this number records the attempt.
     void attempt_in_commit(Attempt& attempt, std::uint64_t commit);
-    /// That transaction failed, or its outcome is unknown.
+    /// Notes that this transaction failed or that its outcome is unknown.
     void attempt_not_committed(Attempt& attempt);
-    /// Its checkpoint is committed: the start may be sent.
+    /// Notes that its checkpoint is committed. The start command may now be sent.
     void attempt_recorded(Attempt& attempt, Millis now);
     void attempt_start_sent(Attempt& attempt, const Machine& machine, Millis now);
-    /// The start certainly did not arrive.
+    /// Notes that the start command certainly did not arrive.
     void attempt_start_not_delivered(Attempt& attempt, Millis now);
-    /// What a heartbeat of its machine lists of it.
+    /// Applies the attempt's entry in a heartbeat of its machine.
     void apply_task_report(Attempt& attempt, const wire::TaskReport& task, Machine& machine,
                            Millis now);
-    /// The attempt is proven gone. Destroys it, and its job if that is finished.
+    /// Notes that the attempt is proven gone. Destroys it, and its job if that is finished.
     void attempt_gone(Attempt& attempt, Millis now);
-    /// Stops the attempt, which has so many seconds to save. One that was never sent is gone at
-    /// once.
+    /// Stops the attempt after at most `grace_s` seconds to save its progress. An attempt whose
+    /// start command was never sent is gone at once.
     void request_stop(Attempt& attempt, double grace_s, Millis now);
     void stop_all_attempts(Job& job, Millis now);
-    /// Stops the attempt, the whole gang if it is of one, with time to save if its job can.
+    /// Stops the attempt, or the whole gang that it belongs to, with time to save its progress if
+    /// the job has checkpoints.
     void checkpoint_and_stop(Attempt& attempt, Millis now);
-    /// Its machine is drained: replicas and gangs move, what can save does, the rest runs on.
+    /// Stops the attempt because its machine is being drained. Only replicas, gangs and tasks with
+    /// checkpoints are stopped; other tasks run to their end.
     void drain_attempt(Attempt& attempt, Millis now);
 
     // --- machines
 
-    /// The machine with this name, added if it is new: provisioned late or by another term, or
-    /// named by a record.
+    /// Returns the machine with this name and adds it if it is new. It may have been provisioned
+    /// late or by another term, or be known from a record only.
     Machine* add_machine(const std::string& name, Millis now);
-    /// Sets type, zone and kind, unless they are known, and the address, unless it is empty.
+    /// Sets the type, zone and price class if they are not known yet, and the address unless it is
+    /// empty.
     void set_machine_identity(Machine& machine, const std::string& address, const std::string& type,
                               const std::string& zone, bool spot);
     void set_machine_state(Machine& machine, MachineState state);
     void set_reachability(Machine& machine, machines::Reachability reachability);
-    /// It has sent its first heartbeat.
+    /// Notes that the machine has sent its first heartbeat.
     void machine_up(Machine& machine, Millis now);
-    /// Known from messages of unknown age only: nothing counts on it.
+    /// Marks whether the machine is known only from messages of unknown age. Its capacity is then
+    /// not relied on.
     void set_unverified(Machine& machine, bool unverified);
-    /// This term controls the machine from now on, under that token. `reached`: see
+    /// Takes control of the machine for this term under the token. `reached` is the `reached_at` of
     /// WorkerChannel::take_control().
     void take_control(Machine& machine, std::uint64_t token, Millis reached);
-    /// Replaces the token by a higher one, so that commands under way have no effect.
+    /// Replaces the token by a higher one, so that commands in flight have no effect.
     void raise_token(Machine& machine, std::uint64_t token, Millis now);
-    /// Its zone is lost: nothing is placed on it before it is heard again.
+    /// Marks whether the machine is suspected because its zone is lost. Nothing is placed on it
+    /// until a heartbeat or reply is received from it again.
     void set_suspected(Machine& machine, bool suspected);
-    /// Reserves the machine, on which tasks were preempted, for the job.
+    /// Reserves the machine for the job for which tasks on it were preempted.
     void reserve_machine(Machine& machine, Job& job, Millis until);
     void release_reservation(Machine& machine);
-    /// The leader releases the machine; a shard holder drains it and reports it as unhealthy.
+    /// Releases the machine. A shard holder drains it instead and reports it to the leader as
+    /// unhealthy.
     void release_machine(Machine& machine, ReleaseReason reason);
-    /// It gets no new tasks; its attempts are drained. `why` is for the log.
+    /// Drains the machine and its attempts. It gets no new tasks. `why` is for the log.
     void drain_machine(Machine& machine, const std::string& why, Millis now);
-    /// The machine is proven gone, with all attempts on it. Destroys it and leaves a tombstone.
+    /// Notes that the machine and all attempts on it are proven gone. Destroys it and leaves a
+    /// tombstone.
     void machine_gone(Machine& machine, Millis now);
-    /// The machine is to be looked at again by then (ControlLoop).
+    /// Schedules the next check of the machine by ControlLoop.
     void wake_at(const Machine& machine, Millis at) {
         machine_deadlines_.schedule(machine.index, at);
     }
@@ -245,7 +257,7 @@
     }
 
   private:
-    // Teams and time.
+    // Teams and deadlines.
     void add_team(const wire::Team& rule);
     void adjust_team_usage(const Job& job, double tasks);
     [[nodiscard]] static std::vector<Index> take_due(DeadlineQueue& deadlines, Millis now);
@@ -262,7 +274,7 @@
     void append_attempt(Job& job, Machine& machine, std::unique_ptr<Attempt> attempt);
     void allocate(Attempt& attempt, Job& job, Machine& machine);
     void deallocate(Attempt& attempt, Job& job);
-    void note_runs_well(Job& job, Machine& machine);
+    void clear_failure_suspicion(Job& job, Machine& machine);
 
     // Ends of attempts.
     void attempt_exited(Attempt& attempt, wire::ExitCause cause, Millis now);
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,5 +1,5 @@
-// The indices of the cluster state, compared with the slow way of doing the same, and simulations
-// of faults that its users once handled wrongly.
+// Compares the indices of the cluster state with straightforward models, and simulates faults that
+// parts using the cluster state once handled wrongly.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -23,7 +23,7 @@
         DeadlineQueue queue;
         std::map<Index, Millis> model;
         Millis now = 0;
-        // Which of a few indices, and in how many milliseconds; a negative number cancels.
+        // Pairs of an index and a delay in milliseconds. A negative delay cancels the deadline.
         const auto steps = *rc::gen::container<std::vector<std::pair<Index, Millis>>>(
             rc::gen::pair(rc::gen::inRange<Index>(0, 12), rc::gen::inRange<Millis>(-10, 40)));
         for (const auto& [index, delay] : steps) {
@@ -55,7 +55,7 @@
     EXPECT_TRUE(rc::check([] {
         placement::FreeCapacityIndex free_capacity;
         std::map<Index, Machine> model;
-        auto halves = [](int most) { return *rc::gen::inRange(0, most + 1) * 0.5; };
+        auto random_halves = [](int most) { return *rc::gen::inRange(0, most + 1) * 0.5; };
         const int steps = *rc::gen::inRange(1, 60);
         for (int step = 0; step < steps; ++step) {
             const auto index = *rc::gen::inRange<Index>(0, 20);
@@ -65,12 +65,12 @@
             } else {
                 Machine machine{{*rc::gen::inRange<Index>(0, 2), *rc::gen::inRange<Index>(0, 2),
                                  *rc::gen::arbitrary<bool>()},
-                                halves(96),
-                                halves(16)};
+                                random_halves(96),
+                                random_halves(16)};
                 free_capacity.update(index, machine.kind, machine.cpus, machine.gpus);
                 model[index] = machine;
             }
-            const placement::Need need{halves(48), std::floor(halves(16)), 0};
+            const placement::Need need{random_halves(48), std::floor(random_halves(16)), 0};
             std::set<Index> found, expected;
             free_capacity.for_each_candidate(
                 need, [](const auto& kind) { return kind.zone == 0; },
@@ -86,8 +86,8 @@
     }));
 }
 
-// The definition of the protocol: a job is within its team's guaranteed quota if it fits into it
-// together with the team's earlier unfinished jobs.
+// By the protocol's definition a job is within its team's guaranteed quota if it fits into the
+// quota together with the team's earlier unfinished jobs.
 TEST(ClusterState, GuaranteedQuotaMatchesARecountOfEarlierJobs) {
     EXPECT_TRUE(rc::check([] {
         const wire::Team rule{"red", *rc::gen::element(0.0, 10.0, 40.0), 0,
@@ -128,8 +128,8 @@
     }));
 }
 
-// The leader is cut off, not its machines: it once released the first unresponsive ones before it
-// had noticed that most were unresponsive, and their replicas were lost.
+// An isolated leader must not release machines. It once released the first unresponsive machines
+// before it noticed that most machines were unresponsive, and their replicas were lost.
 TEST(ClusterState, AnIsolatedLeaderReleasesNoMachine) {
     test::ClusterSimulation simulation(300, {});
     for (int n = 0; n < 6; ++n) {
@@ -146,7 +146,7 @@
 }
 
 // A transaction is deferred when one of its records must be read again first. Its other records
-// must not be taken for written: their tasks were once never started.
+// must not be treated as written. When they were, their tasks were never started.
 TEST(ClusterState, RecordsOfADeferredTransactionAreWrittenLater) {
     test::Faults faults;
     faults.unknown_commits = 0.35;
