--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -82,7 +82,7 @@
     Millis accepted_at = 0;             // on this process's steady clock
     std::uint64_t version = 0;          // of the record open/<id>
 
-    // --- cost, by the demand forecast
+    // --- cost, set by the demand forecast
     std::vector<RelativeCost> relative_cost;   // by machine type
     std::vector<std::uint32_t> slots_by_type;  // tasks that fit on an empty machine
     Index cheapest_type = kNone;               // of the types on which it fits and is allowed
