--- a/src/control/attempt_lookup.h
+++ b/src/control/attempt_lookup.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Matches the tasks that a heartbeat lists with the attempts in the cluster state. Used by
 /// CommandSender and HeartbeatReconciler.
 #pragma once
@@ -7,7 +7,7 @@
 
 namespace nickelramp::control {
 
-/// Whether `report` is about `attempt`: the same job, task and attempt number.
+/// Returns whether `report` and `attempt` have the same job, task and attempt number.
 [[nodiscard]] inline bool is_report_of(const wire::TaskReport& report, const jobs::Attempt& attempt,
                                        const cluster::ClusterState& cluster) {
     return attempt.number == report.attempt && attempt.task == report.task &&
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -22,20 +22,23 @@
 constexpr Millis kRetryAfterRefusal = 700;
 constexpr Millis kRetryAfterUnknownOutcome = 200;
 constexpr Millis kRetryUnreachable = 8'000;
-/// One in so many sockets may be used for direct messages in flight at once, but always some.
+// Direct messages in flight may use one in kSocketsPerMessage sockets, and always at least
+// kMinMessagesInFlight.
 constexpr std::size_t kSocketsPerMessage = 8;
 constexpr std::size_t kMinMessagesInFlight = 16;
 constexpr std::size_t kMaxCommandsPerMessage = 200;
-/// A machine sends heartbeats "lately" if the last is at most so many heartbeat intervals old.
+// A machine counts as still sending heartbeats if the last one is at most this old.
 constexpr double kRecentHeartbeatIntervals = 1.5;
-/// Part of gang_wait_s: an image fetch that takes less is waited for by members already started.
-constexpr double kShortFetchPart = 0.5;
+// As a fraction of gang_wait_s. Members that are already started wait for shorter image fetches of
+// the others.
+constexpr double kShortFetchFraction = 0.5;
 
 Command command_for(Command::Op op, const Job& job, const Attempt& attempt, double grace_s = 0) {
     return {op, job.spec.id, attempt.task, attempt.number, grace_s};
 }
 
-// Whether the completion of the attempt's task is in a committed checkpoint or no longer needed.
+// Returns whether the completion of the attempt's task is in a committed checkpoint or no longer
+// needed.
 bool completion_recorded(const Job& job, const Attempt& attempt) {
     if (job.state == jobs::JobState::finished) return true;
     const auto chunk = job.chunks.find(attempt.task / jobs::kChunkTasks);
@@ -69,7 +72,8 @@
 
 void CommandSender::raise_token(Machine& machine, Millis now) {
     constexpr std::uint64_t kMaxRaises = (std::uint64_t{1} << shards::kGrantShift) - 1;
-    // Thousands of messages were lost: the failure detector decides about such a machine.
+    // All tokens of the grant were used up by thousands of lost messages. The failure detector
+    // decides what happens to such a machine.
     if ((machine.token & kMaxRaises) == kMaxRaises) return;
     cluster_.raise_token(machine, machine.token + 1, now);
 }
@@ -83,7 +87,7 @@
     return commands;
 }
 
-// Stops and forgets, repeated until a heartbeat shows that they were obeyed.
+// Returns the stop and forget commands that no heartbeat has shown as executed yet.
 std::vector<Command> CommandSender::pending_commands(const Machine& machine) const {
     std::vector<Command> commands;
     for (const Attempt* attempt : machine.attempts) {
@@ -95,9 +99,10 @@
                     command_for(Command::Op::stop, job, *attempt, attempt->stop_grace_s));
             continue;
         }
-        // Never forgotten while a start of the attempt may be in flight, or it would run again.
+        // While a start command of the attempt may still be in flight, the worker must not forget
+        // the attempt, or it would run the task again.
         if (!cluster::ClusterState::absence_is_conclusive(*attempt, machine)) continue;
-        // A completion is forgotten only once it is on record.
+        // The worker keeps a completion until it is in a committed checkpoint.
         if (attempt->cause == wire::ExitCause::done && !completion_recorded(job, *attempt))
             continue;
         commands.push_back(command_for(Command::Op::forget, job, *attempt));
@@ -105,7 +110,8 @@
     return commands;
 }
 
-// Tasks that the cluster state does not have: left by an earlier term, or over already.
+// Adds commands for tasks that are not in the cluster state because they were started in an earlier
+// term or have already ended.
 void CommandSender::add_commands_for_unknown_tasks(const Machine& machine,
                                                    const wire::Heartbeat& heartbeat,
                                                    std::vector<Command>& commands) const {
@@ -115,7 +121,8 @@
             machine.attempts.begin(), machine.attempts.end(),
             [&](const Attempt* attempt) { return is_report_of(task, *attempt, cluster_); });
         if (known) continue;
-        // Its shard is being reclaimed and its records are being read: they will name the task.
+        // The job's shard is being reclaimed. The task is listed in records that are still being
+        // read.
         if (const Job* job = cluster_.job(task.job);
             job != nullptr && job->delegated_shard != kNone)
             continue;
@@ -139,7 +146,8 @@
     const std::size_t max_in_flight =
         std::max(kMinMessagesInFlight, term_.settings().max_sockets / kSocketsPerMessage);
     if (in_flight_count_ >= max_in_flight) {
-        // A new leader probes every machine at once; the rest follow as replies come.
+        // A new leader probes every machine at once. The remaining messages are sent as replies to
+        // the first ones arrive.
         cluster_.wake_at(machine, now + kRetryAfterUnknownOutcome);
         return false;
     }
@@ -173,7 +181,8 @@
     return commands;
 }
 
-// The stop or start to send for the attempt now, noted in the cluster state as sent.
+// Returns the stop or start command that is due for the attempt, if any, and records it in the
+// cluster state as sent.
 std::optional<Command> CommandSender::take_due_command(Attempt& attempt, Machine& machine,
                                                        Millis now) {
     const Job& job = cluster_.job_of(attempt);
@@ -196,11 +205,12 @@
     return command_for(Command::Op::start, job, attempt);
 }
 
-// A gang member that is started waits for the others no longer than gang_wait_s and then ends the
-// attempt for all, including their image fetches. So a member that has its image is started only
-// when the others' fetches are nearly over; otherwise such a gang never begins.
+// A started gang member waits for the others for at most gang_wait_s and then ends the attempt of
+// all members, including their image fetches. A member that has its image is therefore started only
+// when the others have nearly fetched theirs. Otherwise a gang with longer fetches would never
+// start.
 bool CommandSender::waits_for_gang_images(const Job& job, const Machine& machine) const {
-    const double short_fetch_s = term_.settings().gang_wait_s * kShortFetchPart;
+    const double short_fetch_s = term_.settings().gang_wait_s * kShortFetchFraction;
     const auto fetch_s = [&](const Machine& candidate) {
         if (candidate.type == kNone) return 0.0;
         return placement::image_wait_s(job, candidate, cluster_.types()[candidate.type]);
@@ -241,15 +251,15 @@
     for (Attempt* attempt : machine.attempts) {
         const bool start_was_sent = attempt->state == AttemptState::starting &&
                                     attempt->token == token && attempt->start_reply_sequence == 0;
-        // Executed or rejected: no part of the message is in flight any more.
+        // Whether the worker executed or rejected the message, it is no longer in flight.
         if (start_was_sent)
             attempt->start_reply_sequence = executed ? state.sequence : state.sequence - 1;
     }
     listener_.on_command_reply(machine, state, now);
     if (machine.confirmed()) return;
-    // The worker has another incarnation than was expected, or the token is new.
+    // The worker has a different incarnation than expected, or has not confirmed a new token.
     machine.token_confirmation_pending = true;
-    // A token above any that was issued: nothing that is sent to the machine is executed.
+    // The worker has a higher token than this term has issued, so it rejects every command.
     if (state.token > machine.token) machine.retry_command_at = now + kRetryUnreachable;
     queue(machine);
 }
@@ -257,25 +267,26 @@
 void CommandSender::on_not_answered(Machine& machine, std::uint64_t token, bool outcome_unknown,
                                     Millis now) {
     ++machine.command_failures;
-    note_lost_command(machine, now);
+    record_lost_command(machine, now);
     for (Attempt* attempt : machine.attempts) {
         if (attempt->token != token || attempt->start_reply_sequence != 0) continue;
         if (!outcome_unknown) cluster_.attempt_start_not_delivered(*attempt, now);
         attempt->stop_sent = false;
     }
     if (outcome_unknown) {
-        // The commands may still be in flight: the higher token, once confirmed, fences them.
+        // The commands may still be in flight. They are fenced once the worker has confirmed the
+        // higher token.
         raise_token(machine, now);
         machine.channel.on_command_lost(now);
     }
-    // Known from forwarded or old messages only and perhaps long gone: the next heartbeat asks
-    // again.
+    // The machine is known only from forwarded or old messages and may no longer exist. It is
+    // probed again when its next heartbeat arrives.
     if (machine.up_at == 0 && machine.command_failures > 1)
         machine.token_confirmation_pending = false;
     machine.retry_command_at = now + retry_delay(machine, outcome_unknown);
 }
 
-// Many unreachable machines must not be probed as often as a single one.
+// Machines in a lost zone are retried less often, because there may be many of them.
 Millis CommandSender::retry_delay(const Machine& machine, bool outcome_unknown) const {
     if (failure_detector_.is_lost(machine.zone) ||
         machine.reachability == machines::Reachability::replies_only)
@@ -283,8 +294,8 @@
     return outcome_unknown ? kRetryAfterUnknownOutcome : kRetryAfterRefusal;
 }
 
-// Only machines that send heartbeats count: one that does not may have ended, or hang.
-void CommandSender::note_lost_command(const Machine& machine, Millis now) {
+// Counts only machines that send heartbeats. Any other machine may have stopped or may hang.
+void CommandSender::record_lost_command(const Machine& machine, Millis now) {
     const Millis recent =
         seconds(kRecentHeartbeatIntervals * term_.settings().heartbeat_interval_s);
     if (now - machine.channel.heartbeat_at() > recent) return;
--- a/src/control/command_sender.h
+++ b/src/control/command_sender.h
@@ -1,10 +1,10 @@
-/// \file
-/// Sends commands to workers. Starts are sent directly; stops and forgets are sent directly and
-/// repeated in every heartbeat reply until a heartbeat shows that they were obeyed.
+/// @file
+/// Sends commands to workers. Start commands are sent in direct messages. Stop and forget commands
+/// are also repeated in every heartbeat reply until a heartbeat shows that they were executed.
 ///
-/// Like all of src/control it runs on the controller's one loop thread, owns no sockets and reads
-/// no clock: messages go out through cluster::ServiceGateway, times are arguments in milliseconds
-/// of the steady clock (Millis).
+/// Like all of src/control, this module runs on the controller's loop thread, owns no sockets and
+/// reads no clock. Messages are sent through cluster::ServiceGateway, and times are arguments in
+/// milliseconds of the steady clock (Millis).
 #pragma once
 #include <optional>
 #include <set>
@@ -17,19 +17,20 @@
 
 namespace nickelramp::control {
 
-/// Keeps at most one direct message in flight per machine, and a bounded number over all machines.
+/// Keeps at most one direct message in flight per machine and a bounded number over all machines.
 ///
-/// Guarantees: a start is sent only for an attempt whose checkpoint is committed, to a machine that
-/// has confirmed its token, and while the leader's or holder's lease is confirmed. After a message
-/// of unknown outcome the machine's token is raised, so that the message is rejected if it arrives
-/// late. Called by ControlLoop, HeartbeatReconciler and MachineChecker; lives as long as the term.
+/// A start command is sent only while the lease of the leader or shard holder is confirmed, only
+/// for an attempt whose checkpoint is committed, and only to a machine that has confirmed its
+/// fencing token. After a message of unknown outcome the machine's token is raised, so that the
+/// worker rejects the message if it arrives late. Called by ControlLoop, HeartbeatReconciler and
+/// MachineChecker. Lives as long as the term.
 class CommandSender {
   public:
-    /// Receives what command replies carry. Implemented by ControlLoop.
+    /// Receives the machine states in command replies. Implemented by ControlLoop.
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// The reply to a direct message brought the machine's state.
+        /// Called with the machine's state from the reply to a direct message.
         virtual void on_command_reply(machines::Machine& machine, const wire::Heartbeat& heartbeat,
                                       Millis now) = 0;
     };
@@ -44,24 +45,27 @@
           failure_detector_(failure_detector),
           listener_(observer) {}
 
-    /// Marks the machine as having something to be sent by the next send_queued().
+    /// Adds the machine to the queue that send_queued() processes.
     void queue(machines::Machine& machine);
-    /// Sends to all queued machines. What can't be sent yet wakes the machine later.
+    /// Sends the due commands of all queued machines. Schedules a later check of a machine whose
+    /// commands cannot be sent yet.
     void send_queued(Millis now);
-    /// Queues a message even without commands, past any back-off: its reply tells what is on the
-    /// machine and confirms the token.
+    /// Queues a message to the machine even if no command is due, ignoring any back-off. The reply
+    /// carries the machine's state and confirms its token.
     void probe(machines::Machine& machine, Millis now);
-    /// The commands of the reply to `heartbeat`: stops and forgets, also of tasks that the cluster
-    /// state does not know. At most 200.
+    /// Returns the stop and forget commands for the reply to `heartbeat`, including those for tasks
+    /// that are not in the cluster state. Returns at most 200 commands.
     [[nodiscard]] std::vector<wire::Command> commands_for_reply(const machines::Machine& machine,
                                                                 const wire::Heartbeat& heartbeat);
-    /// Gives the machine the next token. What is in flight to it is rejected by it from the moment
-    /// that it shows the new token. Does nothing when the grant has no tokens left.
+    /// Issues the machine's next fencing token. Once a message of the worker contains the new
+    /// token, the worker rejects everything that was sent under the old one. Does nothing when the
+    /// grant has no tokens left.
     void raise_token(machines::Machine& machine, Millis now);
 
-    /// Since when no command has been answered while commands to at least three machines that went
-    /// on sending heartbeats were lost: then this controller's own path to the machines has failed,
-    /// rather than the machines. kNever: that is not so.
+    /// Returns when the first command was lost, if since then no command was answered and commands
+    /// to at least three machines that still send heartbeats were lost. In that case the fault is
+    /// more likely in this controller's network path than in the machines. Returns kNever
+    /// otherwise.
     [[nodiscard]] Millis commands_lost_since() const {
         return lost_command_machines_.size() < kLostCommandsThreshold ? kNever : first_lost_at_;
     }
@@ -90,7 +94,7 @@
     void on_not_answered(machines::Machine& machine, std::uint64_t token, bool outcome_unknown,
                          Millis now);
     [[nodiscard]] Millis retry_delay(const machines::Machine& machine, bool outcome_unknown) const;
-    void note_lost_command(const machines::Machine& machine, Millis now);
+    void record_lost_command(const machines::Machine& machine, Millis now);
 
     cluster::TermContext& term_;
     cluster::ClusterState& cluster_;
@@ -98,7 +102,7 @@
     const failure::FailureDetector& failure_detector_;
     Listener& listener_;
     std::vector<Index> queued_;              ///< machines, in the order of queueing
-    std::set<Index> lost_command_machines_;  ///< since a command was last answered
+    std::set<Index> lost_command_machines_;  ///< cleared when a command is answered
     Millis first_lost_at_ = 0;
     std::size_t in_flight_count_ = 0;  ///< direct messages without a reply yet
 };
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -9,13 +9,14 @@
 using jobs::JobState;
 
 namespace {
-/// Changes are collected for so long between two scheduling passes...
+// The minimum time between two scheduling passes. Changes are collected meanwhile.
 constexpr Millis kSchedulingInterval = 20;
-/// ... and a millisecond longer for so many pending jobs each.
+// The interval is one millisecond longer for each group of this many pending jobs.
 constexpr std::size_t kPendingJobsPerMillisecond = 4;
-/// A pass is due even without changes: time alone changes priorities.
+// The next scheduling pass runs at most this late even if nothing changed, because priorities also
+// change with time.
 constexpr Millis kMaxSchedulingDelay = 1'000;
-/// A boot takes far longer.
+// Short compared with the time that a machine takes to boot.
 constexpr Millis kAutoscalingInterval = 250;
 constexpr double kMillisPerSecond = 1'000;
 }  // namespace
@@ -51,7 +52,8 @@
 
 // --- recovery
 
-// A machine that another term or holder answered for until now: it is probed for what is on it.
+// Adds a machine that belonged to another term or shard holder until now. It is probed to find out
+// which tasks it runs.
 void ControlLoop::inherit_machine(const shards::ShardMember& member, std::uint64_t token) {
     Machine* machine = cluster_.add_machine(member.name, started_at_);
     cluster_.set_machine_identity(*machine, member.address, member.type, member.zone, member.spot);
@@ -99,8 +101,8 @@
                            static_cast<double>(now - job.accepted_at) / kMillisPerSecond);
 }
 
-// Every job of the cluster state was read before the list was requested: what the list lacks has
-// been deleted.
+// Every job of the cluster state was read before the list was requested. A job that is missing from
+// the list has therefore been deleted.
 void ControlLoop::on_open_list(const kvstore::ListReply& all, std::int64_t wall_ms, Millis now) {
     std::set<std::string> deleted;
     for (const auto& [id, job] : cluster_.jobs()) deleted.insert(id);
@@ -172,7 +174,7 @@
 void ControlLoop::cancel_delegated_job(const std::string& id, Millis now) {
     Job* job = cluster_.job(id);
     if (job == nullptr || job->state == JobState::cancelled) return;
-    // Its version is needed to finish it: the record is read again.
+    // The record is read again because its current version is needed to finish the job.
     term_.gateway().read(jobs::open_key(id),
                          term_.guarded([this](Millis read_at, const kvstore::GetReply& reply) {
                              const auto record = reply.status == kvstore::Status::ok
@@ -182,7 +184,7 @@
                                  on_open_record(*record, reply.entry.version, 0, read_at);
                              command_sender_.send_queued(read_at);
                          }));
-    // Its running tasks are stopped at once.
+    // The running tasks are stopped without waiting for the record.
     lifecycle_.cancel(*job, now);
     command_sender_.send_queued(now);
 }
@@ -208,12 +210,12 @@
         run_scheduling_pass(now);
 }
 
-// Looks once, in order, at all jobs that have tasks to place.
+// Processes all jobs that have tasks to place, once each and in queue order.
 void ControlLoop::run_scheduling_pass(Millis now) {
     if (!started_ || term_.is_over()) return;
     cluster_.clear_scheduling_request();
     lifecycle_.run_due_jobs(now);
-    // A long queue is looked through less often.
+    // A long queue is processed less often.
     next_scheduling_at_ =
         now + kSchedulingInterval +
         static_cast<Millis>(cluster_.pending_jobs().size() / kPendingJobsPerMillisecond);
@@ -233,7 +235,7 @@
     command_sender_.send_queued(now);
 }
 
-// Gives the job to a shard holder as a whole, or places its tasks and records where they are.
+// Delegates the whole job to a shard holder, or places its tasks and writes a checkpoint.
 void ControlLoop::place_or_delegate(Job& job, Millis now) {
     if (!term_.lease_confirmed(now) || shard_allocator_.delegate_job(job, now)) return;
     scheduler_.place_job(job, now);
@@ -255,7 +257,7 @@
     }
 }
 
-// --- what users and operators see
+// --- status for users and operators
 
 ControlLoop::Progress ControlLoop::progress(const std::string& id) const {
     const Job* job = cluster_.job(id);
--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -1,6 +1,7 @@
-/// \file
-/// One term's decisions put together: the cluster state, the parts around it, and what a heartbeat,
-/// a tick or a reply sets off, in which order. docs/design.md has the map of the parts.
+/// @file
+/// Connects the components of one term: the cluster state and the components that read and change
+/// it. Defines which of them run on a heartbeat, a tick or a reply, and in which order.
+/// docs/design.md gives an overview of the components.
 #pragma once
 #include <array>
 #include <string>
@@ -43,19 +44,20 @@
 using cluster::TermInfo;
 using cluster::TermScope;
 
-/// The scheduler of one term (TermScope::whole_cluster, the leader's) or of one leased shard
-/// (TermScope::single_shard, made by ShardHolder).
+/// The scheduler of a leader's term (TermScope::whole_cluster) or of one leased shard
+/// (TermScope::single_shard, created by ShardHolder).
 ///
-/// Owns all parts of the term and passes on what they tell each other; decisions are made in the
-/// parts. Owns no sockets and reads no clock: messages and times (milliseconds of the steady clock)
-/// are arguments, effects go out through ServiceGateway. Everything runs on the controller's one
-/// loop thread. Once the term is over (another controller's token or record was seen) it changes
-/// nothing any more; ServiceGateway::on_deposed tells the owner, which may destroy it only when
-/// none of its callbacks is running. Called by Controller, HeartbeatHandler and ShardHolder;
-/// `settings` and `gateway` must outlive it.
+/// Owns all components of the term and forwards events between them. The components make the
+/// decisions. Owns no sockets and reads no clock: messages and times (milliseconds of the steady
+/// clock) are arguments, and requests are sent through ServiceGateway. Everything runs on the
+/// controller's loop thread. The term is over once a token or record of another controller was
+/// seen. The control loop then changes nothing any more and notifies its owner through
+/// ServiceGateway::on_deposed. The owner may destroy it only while none of its callbacks is
+/// running. Called by Controller, HeartbeatHandler and ShardHolder. `settings` and `gateway` must
+/// outlive it.
 ///
-/// Order of use: set_machine_types, expect_lost_zone, load_shard, load_intents, load_job and
-/// load_checkpoint; then start; then the rest.
+/// Order of calls: set_machine_types, expect_lost_zone, load_shard, load_intents, load_job and
+/// load_checkpoint, then start, then all other functions.
 class ControlLoop : private cluster::ClusterObserver,
                     private cluster::ControlActions,
                     private sharding::ShardLeaseWriter::Listener,
@@ -70,81 +72,87 @@
     void set_machine_types(const std::vector<wire::MachineType>& types) {
         cluster_.set_machine_types(types);
     }
-    /// A shard record of the key-value store. Its machines are granted anew and probed.
+    /// Loads a shard record of the key-value store. Its machines are granted again and probed.
     void load_shard(std::uint32_t shard_number, shards::Shard shard);
-    /// Before the shards: the previous leader had not heard the zone's machines since then.
+    /// Records that the previous leader has received nothing from the zone's machines since
+    /// `since`. Called before load_shard().
     void expect_lost_zone(const std::string& zone, Millis since) {
         failure_detector_.expect_lost_zone(cluster_.intern_zone(zone), since);
     }
-    /// `wall_ms`: now by the wall clock, as the record has the job's acceptance.
+    /// Loads an open job.
+    /// @param wall_ms the current time by the wall clock, which the record's acceptance time uses.
     void load_job(const jobs::OpenRecord& record, std::uint64_t version, std::int64_t wall_ms,
                   Millis now) {
         cluster_.add_job(record, version, wall_ms, now);
     }
-    /// A checkpoint of a loaded job: 64 tasks, numbered by `chunk`.
+    /// Loads a checkpoint of a loaded job. Each chunk has 64 tasks.
     void load_checkpoint(const std::string& id, std::uint32_t chunk, const jobs::RunRecord& record,
                          std::uint64_t version, Millis now) {
         lifecycle_.load_checkpoint(id, chunk, record, version, inherited_token_, now);
     }
-    /// After shards and types: the provisioning intents of earlier terms. Records of this or a
-    /// later term, and unreadable keys, are ignored.
+    /// Loads a provisioning intent of an earlier term. Ignores records of this or a later term and
+    /// keys that cannot be parsed. Called after load_shard() and set_machine_types().
     void load_intents(const std::string& key, const wire::Json& value, std::uint64_t version);
-    /// Everything is loaded: decisions begin with a first tick.
+    /// Completes the recovery and runs the first tick.
     void start(Millis now);
 
     // --- changes in the key-value store
 
-    /// An open record was written: a job was accepted or its cancellation requested.
+    /// Handles a written open record: a job was accepted or its cancellation was requested.
     void on_open_record(const jobs::OpenRecord& record, std::uint64_t version, std::int64_t wall_ms,
                         Millis now) {
         lifecycle_.on_open_record(record, version, wall_ms, now);
     }
-    /// All open records, read after the watch has missed changes.
+    /// Handles a list of all open records, which is read after the watch has missed changes.
     void on_open_list(const kvstore::ListReply& all, std::int64_t wall_ms, Millis now);
     void on_open_record_deleted(const std::string& id, Millis now) {
         shard_allocator_.on_open_record_deleted(id);
         lifecycle_.on_open_record_deleted(id, now);
     }
 
-    // --- what this controller may do
+    // --- limits and options
 
-    /// How many workers the controllers can hear; set before each tick.
+    /// Sets how many workers the controllers can serve. Called before each tick.
     void set_worker_capacity(const machines::WorkerCapacity& capacity) {
         reachability_monitor_.set_worker_capacity(capacity);
         autoscaler_.set_max_machines(capacity.max_machines);
     }
-    /// From then on nothing new is started, unless the lease is confirmed for longer.
+    /// Sets until when the lease is confirmed. No task is started after that.
     void confirm_lease_until(Millis until) { term_.confirm_lease_until(until); }
     void set_role_fence(lease::Role role, std::uint64_t fence) {
         term_.set_role_fence(role, fence);
     }
 
     void set_options(const admin::Options& options) { term_.set_options(options); }
-    /// Null: none are recorded. Must outlive the control loop.
+    /// Sets where start times are recorded; with null they are not. `metrics` must outlive the
+    /// control loop.
     void set_metrics(admin::Metrics* metrics) { metrics_ = metrics; }
 
-    // --- machines and time
+    // --- heartbeats, instance lists and ticks
 
-    /// The reply to a heartbeat: misdirected if another term or controller answers for the machine,
-    /// unavailable before start() and whenever nobody can say.
+    /// Handles a heartbeat and returns its reply: misdirected if another term or controller is
+    /// responsible for the machine, unavailable before start() and while the responsible controller
+    /// is unknown.
     [[nodiscard]] machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
                                                         const machines::HeartbeatArrival& arrival,
                                                         Millis now);
-    /// A heartbeat that came straight from its worker; `follows_reply` as in HeartbeatArrival.
+    /// Handles a heartbeat that was received directly from its worker. `follows_reply` is defined
+    /// in HeartbeatArrival.
     [[nodiscard]] machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
                                                         bool follows_reply, Millis now) {
         return on_heartbeat(heartbeat, machines::HeartbeatArrival{follows_reply, now}, now);
     }
-    /// The cloud's complete list of instances, requested at `requested_at`.
+    /// Handles the cloud's complete list of instances, which was requested at `requested_at`.
     void on_instances_listed(const std::vector<wire::CloudInstance>& instances, Millis requested_at,
                              Millis now);
-    /// Does what is due; called several times a second.
+    /// Performs all work that is due. Called several times a second.
     void tick(Millis now);
 
     // --- shards and delegation, the leader's side
 
     void on_peer_status(const peers::Status& status, Millis now);
-    /// The grants to send now, by peer. `view_fresh`: every cancellation up to then is known.
+    /// Returns the grants to send now, by peer.
+    /// @param view_fresh the time up to which every cancellation is known.
     [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(Millis view_fresh,
                                                                        Millis now) {
         return shard_allocator_.renewals(view_fresh, now);
@@ -152,15 +160,16 @@
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now) {
         shard_allocator_.on_shard_status(shard_status, now);
     }
-    /// The heartbeat delegations to send now, by peer; none while the lease is not confirmed.
+    /// Returns the heartbeat delegations to send now, by peer. There are none while the lease is
+    /// not confirmed. `view_fresh` is as in shard_renewals().
     [[nodiscard]] std::vector<partition::AddressedDelegation> heartbeat_delegations(
         Millis view_fresh, Millis now);
-    /// How long this leader and its partition responders may answer heartbeats without learning of
-    /// cancellations.
+    /// Returns how long this leader and its partition responders may go on replying to heartbeats
+    /// while they cannot learn of cancellations.
     [[nodiscard]] Millis max_response_window() const {
         return heartbeat_delegator_.response_window();
     }
-    /// For the next leader, which hands it to expect_lost_zone.
+    /// Returns the zones that are lost. The next leader passes them to expect_lost_zone().
     [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const {
         return failure_detector_.lost_zones(now);
     }
@@ -169,17 +178,18 @@
 
     /// Takes over the shard's machines and starts.
     void take_shard(const peers::ShardGrant& grant, Millis now);
-    /// Adds a delegated job with its checkpoints; ignored if it is there already.
+    /// Adds a delegated job with its checkpoints, unless it was added before.
     void add_delegated_job(const jobs::OpenRecord& record, std::uint64_t version,
                            const kvstore::ListReply& runs, std::int64_t wall_ms, Millis now);
-    /// Stops the job's tasks at once and reads its record again, which is needed to finish it.
+    /// Stops the job's tasks at once and reads its record again, because the record's current
+    /// version is needed to finish the job.
     void cancel_delegated_job(const std::string& id, Millis now);
-    /// Machines of the shard that the leader should release.
+    /// Returns the machines of the shard that the leader should release.
     [[nodiscard]] const std::vector<std::string>& unhealthy_machines() const {
         return cluster_.unhealthy_machines();
     }
 
-    // --- what users and operators see
+    // --- status for users and operators
 
     struct Progress {
         bool known = false;                   ///< false: no open job has the id
@@ -191,16 +201,17 @@
         std::array<std::size_t, machines::kMachineStateCount> machines{};  ///< by MachineState
     };
     [[nodiscard]] Summary summary() const;
-    /// Most machines of every zone are unresponsive: rather this controller's fault than theirs.
+    /// Returns whether most machines of every zone are unresponsive. The fault is then more likely
+    /// in this controller than in the machines.
     [[nodiscard]] bool all_zones_unresponsive() const {
         return failure_detector_.all_mostly_unresponsive();
     }
-    /// Heartbeats arrive through other controllers while no command of this one reaches a machine:
-    /// another controller should lead.
+    /// Returns whether another controller should lead because heartbeats arrive through other
+    /// controllers while no command of this one reaches a machine.
     [[nodiscard]] bool commands_lost(Millis now) const {
         return machine_checker_.commands_lost(now);
     }
-    /// The cluster state for the administration page (OverviewPage).
+    /// Returns the cluster state for the administration page (OverviewPage).
     [[nodiscard]] wire::Json overview(Millis now) const;
 
     drain::Planner& drain_planner() { return drain_planner_; }
@@ -282,8 +293,8 @@
 
     admin::Metrics* metrics_ = nullptr;
     bool started_ = false;
-    Millis started_at_ = 0;              ///< when the term's state began to be read
-    std::uint64_t inherited_token_ = 0;  ///< what earlier terms or holders started used at most it
+    Millis started_at_ = 0;              ///< when the control loop was created
+    std::uint64_t inherited_token_ = 0;  ///< upper bound of earlier terms' and holders' tokens
     Millis next_scheduling_at_ = 0, next_autoscaling_at_ = 0;
 };
 
