--- a/src/control/shard_holder.cpp
+++ b/src/control/shard_holder.cpp
@@ -7,7 +7,7 @@
 namespace nickelramp::control {
 
 namespace {
-/// How long running tasks are tended after the lease has ended.
+// How long running tasks are managed after the lease has expired.
 constexpr Millis kWindDownTime = 10'000;
 }  // namespace
 
@@ -22,7 +22,7 @@
     const bool older =
         grant.term < grant_.term || (grant.term == grant_.term && grant.token < grant_.token);
     const bool for_earlier_process = grant.incarnation != incarnation_;
-    // Of a shard that was let go: commands under its token may still be in flight.
+    // The shard was released, but commands under its token may still be in flight.
     const bool of_ended_shard = grant.token == ended_token_;
     return static_cast<Millis>(grant.status_clock_ms) <= now && !older && !for_earlier_process &&
            !of_ended_shard;
@@ -51,7 +51,7 @@
 
 void ShardHolder::take_shard(const peers::ShardGrant& grant,
                              const std::vector<wire::MachineType>& types, Millis now) {
-    end("another shard is granted");
+    end("another shard was granted");
     spdlog::info("shard {}: leased from {}, machines={}", grant.shard, grant.from,
                  grant.machines.size());
     grant_ = grant;
@@ -63,19 +63,20 @@
     lease_until_ = cancellations_known_until_ = 0;
 }
 
-// Whether the job is still to be loaded into the shard that was held under `token`.
-bool ShardHolder::still_wants(const std::string& id, std::uint64_t token) const {
+// Returns whether the job still has to be loaded, because the shard with `token` is still held and
+// the job has not been dropped.
+bool ShardHolder::load_still_needed(const std::string& id, std::uint64_t token) const {
     return control_loop_ && grant_.token == token && jobs_.count(id) != 0;
 }
 
-// A grant names a delegated job by its id only; its records are read from the key-value store.
+// Reads the job's records from the key-value store, because a grant contains only the job's id.
 void ShardHolder::load_job(const std::string& id, std::int64_t wall_ms) {
     gateway_.read(jobs::open_key(id),
                   [this, alive = std::weak_ptr<char>(alive_), token = grant_.token, id, wall_ms](
                       Millis, const kvstore::GetReply& open) {
-                      if (!alive.lock() || !still_wants(id, token)) return;
+                      if (!alive.lock() || !load_still_needed(id, token)) return;
                       if (open.status == kvstore::Status::missing) {
-                          jobs_[id] = LoadState::loaded;  // over already: status() says so
+                          jobs_[id] = LoadState::loaded;  // already over, as status() reports
                           return;
                       }
                       const auto record = open.status == kvstore::Status::ok
@@ -84,7 +85,7 @@
                       if (record)
                           load_checkpoints(id, *record, open.entry.version, wall_ms);
                       else
-                          jobs_.erase(id);  // the next grant names it again
+                          jobs_.erase(id);  // loaded again when the next grant lists it
                   });
 }
 
@@ -93,9 +94,9 @@
     gateway_.list("run/" + id + "/",
                   [this, alive = std::weak_ptr<char>(alive_), token = grant_.token, id, record,
                    version, wall_ms](Millis listed_at, const kvstore::ListReply& runs) {
-                      if (!alive.lock() || !still_wants(id, token)) return;
+                      if (!alive.lock() || !load_still_needed(id, token)) return;
                       if (runs.status != kvstore::Status::ok) {
-                          jobs_.erase(id);  // the next grant names it again
+                          jobs_.erase(id);  // loaded again when the next grant lists it
                           return;
                       }
                       jobs_[id] = LoadState::loaded;
@@ -108,7 +109,7 @@
     if (now >= lease_until_) {
         set_state(ShardHolderState::winding_down);
         if (now - lease_until_ > kWindDownTime) {
-            end("the lease has ended");
+            end("the lease has expired");
             return;
         }
     }
@@ -117,7 +118,7 @@
 
 void ShardHolder::end(const std::string& why) {
     if (state_ == ShardHolderState::empty) return;
-    spdlog::info("shard {}: let go, {}", grant_.shard, why);
+    spdlog::info("shard {}: released, {}", grant_.shard, why);
     set_state(ShardHolderState::empty);
     ended_token_ = grant_.token;
     control_loop_->confirm_lease_until(0);
@@ -134,7 +135,7 @@
 
 machines::HeartbeatReply ShardHolder::on_heartbeat(const wire::Heartbeat& heartbeat,
                                                    bool follows_reply, Millis now) {
-    // Cancellations may have been missed: the workers' leases must run out in time.
+    // Cancellations may have been missed, so the workers' leases must expire in time.
     if (now > may_respond_until()) return machines::HeartbeatReply::unavailable();
     return control_loop_->on_heartbeat(heartbeat, follows_reply, now);
 }
