--- a/src/control/heartbeat_reconciler.cpp
+++ b/src/control/heartbeat_reconciler.cpp
@@ -17,15 +17,15 @@
 using machines::Reachability;
 
 namespace {
-/// Machines known from messages of unknown age only; more are not taken in.
+// Limits the machines that are known only from messages of unknown age.
 constexpr std::size_t kMaxUnverifiedMachines = 256;
-/// A duplicate from a machine that was reached since so long ago is no reason to probe it.
+// A machine that was reached within this time is not probed when a duplicate arrives.
 constexpr Millis kDuplicateGrace = 1'000;
-/// Added to the time by which the worker's lease has ended by its own clock.
+// Added to the time at which the lease expires by the worker's clock.
 constexpr Millis kLeaseSlack = 500;
 constexpr double kMillisPerSecond = 1'000;
 
-bool is_on(const Machine& machine, const Attempt* attempt) {
+bool has_attempt(const Machine& machine, const Attempt* attempt) {
     return std::find(machine.attempts.begin(), machine.attempts.end(), attempt) !=
            machine.attempts.end();
 }
@@ -52,7 +52,8 @@
     return reply_to(machine, heartbeat, freshness, now);
 }
 
-// Why this term does not answer for the machine at all, if so. Changes nothing.
+// Returns the rejection to reply with if this term is not responsible for the machine, without
+// changing any state.
 std::optional<HeartbeatReply> HeartbeatReconciler::rejection_of(
     const wire::Heartbeat& heartbeat) const {
     if (cluster_.is_tombstoned(heartbeat.machine)) return HeartbeatReply::unavailable();
@@ -72,12 +73,13 @@
 Machine& HeartbeatReconciler::find_or_add_machine(const wire::Heartbeat& heartbeat, Millis now) {
     Machine* machine = cluster_.machine(heartbeat.machine);
     if (machine == nullptr) {
-        // It may be long gone: nobody counts on it before it has answered a probe.
+        // The machine may no longer exist. It is not counted as capacity before it has answered a
+        // probe.
         machine = cluster_.add_machine(heartbeat.machine, now);
         cluster_.set_unverified(*machine, true);
         set_identity(*machine, heartbeat);
     }
-    // Without a grant it may hold an earlier term's token, so it gets one of this term's.
+    // A machine without a grant may hold a token of an earlier term, so it gets one of this term.
     if (machine->token == 0)
         cluster_.take_control(*machine, shards::term_token(term_.info().number), now);
     if (machine->address.empty()) set_identity(*machine, heartbeat);
@@ -89,17 +91,17 @@
                                   heartbeat.spot);
 }
 
-// A message of ours has arrived at the machine.
+// Handles evidence that a message of this controller has reached the machine.
 void HeartbeatReconciler::on_machine_reached(Machine& machine, Millis now) {
     cluster_.set_reachability(machine, reachability_monitor_.reachability(machine, now));
     cluster_.set_suspected(machine, false);
 }
 
-// A message that proves too little is a reason to ask the machine.
+// Probes the machine if the message does not prove its state or leaves its reachability in doubt.
 void HeartbeatReconciler::probe_if_doubtful(Machine& machine, EvidenceFreshness freshness,
                                             bool reached, Millis now) {
     if (freshness == EvidenceFreshness::duplicate) {
-        // Duplicates come in floods: one probe per heartbeat interval.
+        // Many duplicates may arrive at once, so there is one probe per heartbeat interval.
         const Millis heartbeat_interval = seconds(term_.settings().heartbeat_interval_s);
         if (now - machine.channel.reached_at() > kDuplicateGrace &&
             now - machine.probe_requested_at > heartbeat_interval)
@@ -111,8 +113,8 @@
         command_sender_.probe(machine, now);
 }
 
-// The machine shows a token above any that this term has issued for it, so that it would reject
-// every command.
+// Rejects a heartbeat with a higher token than this term has issued for the machine, which would
+// reject every command.
 HeartbeatReply HeartbeatReconciler::reject_unissued_token(Machine& machine,
                                                           EvidenceFreshness freshness, Millis now) {
     if (term_.is_shard_holder()) return HeartbeatReply::misdirected();
@@ -125,8 +127,8 @@
 HeartbeatReply HeartbeatReconciler::reply_to(Machine& machine, const wire::Heartbeat& heartbeat,
                                              EvidenceFreshness freshness, Millis now) {
     const Millis lease = seconds(term_.settings().lease_s);
-    // The worker drops the reply to a duplicate. A reply that does not reach the worker would
-    // lengthen its lease in the cluster state alone, which does no harm only on an empty machine.
+    // The worker drops the reply to a duplicate. A reply that does not reach the worker would renew
+    // the lease in the cluster state only, which is harmless only if the machine is empty.
     if (freshness == EvidenceFreshness::duplicate ||
         (!machine.attempts.empty() && !machine.channel.should_reply(lease, now)))
         return HeartbeatReply::unavailable();
@@ -154,19 +156,19 @@
         apply_proven_state(machine, heartbeat, previous_incarnation, freshness, now);
 }
 
-// What the message says was true after everything that was known before.
+// Applies a message whose content is newer than everything known before.
 void HeartbeatReconciler::apply_proven_state(Machine& machine, const wire::Heartbeat& heartbeat,
                                              std::uint64_t previous_incarnation,
                                              EvidenceFreshness freshness, Millis now) {
     if (previous_incarnation != 0 && heartbeat.incarnation > previous_incarnation)
-        spdlog::info("machine {}: lease lost and all tasks with it", machine.name);
+        spdlog::info("machine {}: worker lost its lease, all its tasks have ended", machine.name);
     set_identity(machine, heartbeat);
     cluster_.set_unverified(machine, false);
     cluster_.machine_up(machine, now);
     const bool new_incarnation = freshness == EvidenceFreshness::new_incarnation;
     if (new_incarnation) {
-        // No earlier task is left. What is still in flight to the machine could be executed until
-        // it has seen a higher token.
+        // No task of the previous incarnation is left. The worker could still execute messages that
+        // are in flight until it has received a higher token.
         spdlog::info("machine {}: worker restarted, attempts={}", machine.name,
                      machine.attempts.size());
         command_sender_.raise_token(machine, now);
@@ -180,7 +182,8 @@
             fmt::format("is preempted by the cloud in {} s", *heartbeat.preemption_notice_s), now);
     }
     join_machine(machine, now);
-    command_sender_.queue(machine);  // commands that waited for the token or for free capacity
+    // Commands may have been waiting for the token to be confirmed or for free capacity.
+    command_sender_.queue(machine);
 }
 
 // Returns the machine's attempts that the heartbeat does not list.
@@ -197,9 +200,10 @@
         unreported.erase(found);
         const std::size_t attempts_before = machine.attempts.size();
         cluster_.apply_task_report(*attempt, task, machine, now);
-        // What ends by one report may end and remove other attempts, too.
+        // The end of this attempt may have ended and removed other attempts, too.
         if (machine.attempts.size() != attempts_before)
-            std::erase_if(unreported, [&](const Attempt* other) { return !is_on(machine, other); });
+            std::erase_if(unreported,
+                          [&](const Attempt* other) { return !has_attempt(machine, other); });
     }
     return unreported;
 }
@@ -208,8 +212,8 @@
                                          const wire::Heartbeat& heartbeat, bool new_incarnation,
                                          Millis now) {
     for (Attempt* attempt : unreported) {
-        // Ending one attempt may remove others of the list.
-        if (!is_on(machine, attempt)) continue;
+        // Ending one attempt may have removed others that are in `unreported`.
+        if (!has_attempt(machine, attempt)) continue;
         const bool not_started_yet =
             attempt->state == AttemptState::recording || attempt->state == AttemptState::recorded;
         if (not_started_yet) continue;
@@ -223,7 +227,8 @@
 // --- joining
 
 void HeartbeatReconciler::join_machine(Machine& machine, Millis now) {
-    // A machine that is expected may be taken at its word: it is probed before it gets tasks.
+    // A machine that was provisioned may join on any heartbeat, because it must confirm its token
+    // before it becomes ready.
     if (machine.state == MachineState::booting && !machine.unverified && machine.type != kNone)
         on_booted(machine, now);
     if (machine.state != MachineState::joining) return;
--- a/src/control/heartbeat_reconciler.h
+++ b/src/control/heartbeat_reconciler.h
@@ -1,8 +1,8 @@
-/// \file
-/// Brings the cluster state in line with what machines say of themselves.
+/// @file
+/// Updates the cluster state from the machine states in heartbeats and command replies.
 ///
-/// Runs on the controller's one loop thread; owns no sockets and reads no clock. Times are
-/// milliseconds of the steady clock.
+/// Runs on the controller's loop thread, owns no sockets and reads no clock. Times are milliseconds
+/// of the steady clock.
 #pragma once
 #include <optional>
 #include <string>
@@ -17,14 +17,14 @@
 
 namespace nickelramp::control {
 
-/// Handles heartbeats and the machine states that command replies carry, and decides how a
-/// heartbeat is answered.
+/// Handles heartbeats and the machine states in command replies, and decides how to reply to a
+/// heartbeat.
 ///
-/// Guarantees: the cluster state changes only by messages that prove the machine's state
-/// (machines::proves_state); any other message leads at most to a probe. A heartbeat is accepted,
-/// which lengthens the worker's lease, only if this term may answer for the machine and its replies
-/// are known to arrive. Called by ControlLoop, which checks before that its term is not over; owned
-/// by it, and all references must outlive the reconciler.
+/// Only messages that prove the machine's state (machines::proves_state) change the states of its
+/// tasks. Any other message leads at most to a probe. Accepting a heartbeat renews the worker's
+/// lease. A heartbeat is accepted only if this term is responsible for the machine and, unless the
+/// machine is empty, replies are known to reach it. Owned and called by ControlLoop, which checks
+/// first that its term is not over. All references must outlive the reconciler.
 class HeartbeatReconciler {
   public:
     HeartbeatReconciler(cluster::TermContext& term, cluster::ClusterState& cluster,
@@ -41,14 +41,14 @@
           shard_lease_writer_(shard_lease_writer) {}
 
     /// Applies a heartbeat and returns its reply: misdirected if another controller holds the
-    /// machine, unavailable if nobody can answer for it now or it must lose its lease.
+    /// machine, unavailable if no controller is responsible for it now or if its lease must expire.
     [[nodiscard]] machines::HeartbeatReply on_heartbeat(const wire::Heartbeat& heartbeat,
                                                         const machines::HeartbeatArrival& arrival,
                                                         Millis now);
-    /// Applies the machine state that the reply to a direct message carried.
+    /// Applies the machine state from the reply to a direct message.
     void on_command_reply(machines::Machine& machine, const wire::Heartbeat& heartbeat, Millis now);
-    /// Moves a machine from booting through joining to ready as far as is proven: it may be given
-    /// tasks once its grant is recorded and it has confirmed its token.
+    /// Advances a machine from booting through joining to ready. It becomes ready, and may be given
+    /// tasks, once its grant is recorded and it has confirmed its token.
     void join_machine(machines::Machine& machine, Millis now);
 
   private:
--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -10,13 +10,13 @@
 namespace {
 constexpr Millis kCheckIntervalHealthy = 1'000;
 constexpr Millis kCheckIntervalOther = 200;
-constexpr Millis kProbesFail = 3'000;              // two probes have failed by then
+constexpr Millis kProbeFailureTime = 3'000;        // two probes fail within this time
 constexpr Millis kFirstHeartbeatTimeout = 45'000;  // after the cloud lists a machine as running
-constexpr double kHopelessBootFactor = 4.0;        // of the type's boot time: released after that
+constexpr double kBootTimeoutFactor = 4.0;         // multiple of the type's boot time
 constexpr double kUnknownTypeBootS = 60;
-// Commands take 2 s to fail, and other machines are probed then.
+// Commands take 2 s to fail, and other machines are probed after that.
 constexpr Millis kCommandsLostTimeout = 5'000;
-// So long after the first command was lost, any controller that can lead has taken over.
+// Time from the first lost command by which another controller has taken over if any can lead.
 constexpr Millis kTakeoverTimeout = 20'000;
 constexpr Millis kProbeInterval = 1'000;
 constexpr std::size_t kMachinesPerProbe = 8;
@@ -34,8 +34,8 @@
     return now - command_sender_.commands_lost_since() > kCommandsLostTimeout;
 }
 
-// Commands were lost to machines that send heartbeats. It may be the fault of those machines:
-// others are asked.
+// If commands were lost to machines that send heartbeats, probes other machines to find out whether
+// the fault is in those machines.
 void MachineChecker::probe_after_lost_commands(Millis now) {
     if (command_sender_.commands_lost_since() == kNever || now < next_probe_at_) return;
     next_probe_at_ = now + kProbeInterval;
@@ -54,15 +54,17 @@
     return now - machine.channel.reached_at();
 }
 
-// Two probes that fail after the unresponsive timeout are enough: the cloud's reply to the release
-// is what proves the machine gone. Heartbeats that arrive meanwhile do not show that it can be
+// Returns how long a machine must be unreached before it may be declared lost. Two failed probes
+// after the unresponsive timeout are enough, because the cloud's reply to the release proves that
+// the machine is gone. Heartbeats that arrive meanwhile do not show that the machine can be
 // reached.
 Millis MachineChecker::lost_timeout() const {
-    return reachability_monitor_.unresponsive_timeout() + kProbesFail;
+    return reachability_monitor_.unresponsive_timeout() + kProbeFailureTime;
 }
 
-// Other controllers see that no command of this one arrives: its probes prove nothing. Soon another
-// one leads, or none can reach the machines.
+// Returns whether another controller may soon take over because no command of this one reaches a
+// machine. Failed probes prove nothing until then. If no other controller has taken over after
+// kTakeoverTimeout, none can reach the machines.
 bool MachineChecker::awaiting_takeover(Millis now) const {
     const Millis lost_for = now - command_sender_.commands_lost_since();
     return lost_for >= 0 && lost_for < kTakeoverTimeout;
@@ -88,8 +90,8 @@
 }
 
 void MachineChecker::check_reachability(Machine& machine, Millis now) {
-    // Counted before any machine is given up: that many become unresponsive together must be seen
-    // before the first is released.
+    // Machines that become unresponsive together must be counted before the first of them is
+    // declared lost.
     if (machine.counts_as_up)
         cluster_.set_reachability(machine, reachability_monitor_.reachability(machine, now));
     const Millis unreached_for = time_since_reached(machine, now);
@@ -100,7 +102,8 @@
         machine.retry_command_at = now;
         command_sender_.queue(machine);
     }
-    // An inbound-only machine answers commands; it is given up while its tasks can still save.
+    // An inbound-only machine still answers commands, so it may be declared lost while its tasks
+    // can still save their state.
     const bool in_use = machine.usable() || machine.state == MachineState::joining;
     const bool inbound_only = machine.reachability == Reachability::inbound_only && in_use;
     const bool lost =
@@ -111,18 +114,19 @@
 void MachineChecker::check_lease(Machine& machine, Millis now) {
     if (time_since_reached(machine, now) <= seconds(term_.settings().lease_s)) return;
     if (!heartbeat_delegator_.lease_expired(machine.lease_until, now)) return;
-    // The worker has killed all its tasks by itself.
+    // The worker has killed all its tasks when its lease expired.
     while (!machine.attempts.empty()) cluster_.attempt_gone(*machine.attempts.back(), now);
 }
 
 void MachineChecker::check_boot(Machine& machine, Millis now) {
-    // While controllers are out of sockets its heartbeats may not have found one.
+    // While the controllers are out of sockets, heartbeats may be refused. The timeout for the
+    // first heartbeat is restarted.
     if (reachability_monitor_.sockets_exhausted() && machine.listed_running_at != 0)
         machine.listed_running_at = now;
     const double boot_s =
         machine.type == kNone ? kUnknownTypeBootS : cluster_.types()[machine.type].boot_s;
     const Millis booting_for = now - machine.provisioned_at;
-    if (booting_for > seconds(boot_s * kHopelessBootFactor + term_.settings().cloud_list_lag_s)) {
+    if (booting_for > seconds(boot_s * kBootTimeoutFactor + term_.settings().cloud_list_lag_s)) {
         cluster_.release_machine(machine, ReleaseReason::never_booted);
     } else if (machine.listed_running_at != 0 &&
                now - machine.listed_running_at > kFirstHeartbeatTimeout &&
@@ -131,11 +135,11 @@
     }
     if (booting_for > seconds(boot_s * autoscaling::kLateBootFactor) && !machine.boots_late) {
         machine.boots_late = true;
-        cluster_.request_scheduling();  // the scheduler no longer counts on it
+        cluster_.request_scheduling();  // the scheduler no longer counts it as capacity
     }
-    // Tasks are placed only on machines of shards, and a shard loses a machine only when it is
-    // gone: one with tasks but no shard was released as the last leader ended. The cloud's reply
-    // proves it gone long before its lease does.
+    // Tasks are placed only on machines of shards, and a machine leaves its shard only when it is
+    // gone. A machine with tasks but without a shard was released when the previous leader's term
+    // ended. The cloud's reply to a release proves that it is gone long before its lease expires.
     if (!machine.attempts.empty() && time_since_reached(machine, now) > lost_timeout())
         cluster_.release_machine(machine, ReleaseReason::known_from_records);
 }
@@ -150,7 +154,7 @@
         cluster_.release_machine(machine, *reason);
 }
 
-// Why an empty machine is to be released; nothing: it is kept.
+// Returns why an empty machine is to be released, or nullopt if it is kept.
 std::optional<ReleaseReason> MachineChecker::idle_release_reason(const Machine& machine,
                                                                  Millis now) const {
     const Millis idle_for = now - machine.idle_since;
--- a/src/control/machine_checker.h
+++ b/src/control/machine_checker.h
@@ -1,9 +1,9 @@
-/// \file
-/// What follows for a machine as time passes: it is late to boot, unresponsive, idle, or its lease
-/// has ended.
+/// @file
+/// Time-based checks of machines: late boots, unresponsive machines, idle machines and expired
+/// leases.
 ///
-/// Runs on the controller's one loop thread; owns no sockets and reads no clock. Times are
-/// milliseconds of the steady clock.
+/// Runs on the controller's loop thread, owns no sockets and reads no clock. Times are milliseconds
+/// of the steady clock.
 #pragma once
 #include <optional>
 
@@ -17,13 +17,13 @@
 
 namespace nickelramp::control {
 
-/// Checks every machine that is due and schedules its next check: once a second while it does well,
-/// else five times a second.
+/// Checks every machine that is due and schedules its next check: after a second if it is healthy
+/// and in use, otherwise after 200 ms.
 ///
-/// Guarantees: what may be on a machine is given up only when its lease has certainly ended,
-/// whoever may have answered its heartbeats. An unresponsive machine is handed to the failure
-/// detector, which decides; all machines of a tick are counted before the first is given up. Called
-/// by ControlLoop::tick, owned by ControlLoop; all references must outlive the checker.
+/// Attempts on a machine are declared gone only when its lease has certainly expired, whichever
+/// controller may have replied to its heartbeats. The failure detector decides whether an
+/// unresponsive machine is declared lost. Owned by ControlLoop and called by ControlLoop::tick. All
+/// references must outlive the checker.
 class MachineChecker {
   public:
     MachineChecker(const cluster::TermContext& term, cluster::ClusterState& cluster,
@@ -39,10 +39,10 @@
           heartbeat_delegator_(heartbeat_delegator),
           reachability_monitor_(reachability_monitor) {}
 
-    /// Checks the machines that are due; then sends the releases that are on record.
+    /// Checks the machines that are due, then sends the recorded releases to the cloud.
     void check_machines(Millis now);
-    /// Whether commands have been lost to all machines for so long that another controller should
-    /// lead: heartbeats arrive through others while this one reaches no machine.
+    /// Returns whether another controller should lead because this one has not reached any machine
+    /// for too long while heartbeats still arrive through other controllers.
     [[nodiscard]] bool commands_lost(Millis now) const;
 
   private:
--- a/src/control/overview_page.cpp
+++ b/src/control/overview_page.cpp
@@ -14,8 +14,8 @@
 
 double in_seconds(Millis duration) { return static_cast<double>(duration) / 1000.0; }
 
-// Within what time after its acceptance the job meets the objective; nothing: the objective says
-// nothing of it (any more).
+// Returns the time after its acceptance within which the job meets the objective, or nullopt if the
+// objective does not apply to the job, or no longer does.
 std::optional<Millis> allowed_time(const Objective& objective, const Job& job) {
     switch (objective.kind) {
         case Objective::Kind::wait:
@@ -74,16 +74,16 @@
 
 std::string OverviewPage::machines_reason(const Job& job, Millis now) const {
     bool any_up = false;
-    bool any_coming = false;
+    bool any_provisioning = false;
     for (const Machine* machine : cluster_.machines()) {
         if (machine->type == kNone || !placement_rules_.allowed(job, *machine)) continue;
         any_up |= machine->accepts_tasks();
-        any_coming |=
+        any_provisioning |=
             machine->state == MachineState::booting || machine->state == MachineState::joining;
         if (machine->reserved_for == job.index && now < machine->reserved_until)
             return "room is being made for it";
     }
-    if (any_coming) return "allowed machines are full, others are coming";
+    if (any_provisioning) return "allowed machines are full, others are coming";
     return any_up ? "allowed machines are full" : "no allowed machine, and the cloud gives none";
 }
 
--- a/src/control/overview_page.h
+++ b/src/control/overview_page.h
@@ -1,6 +1,6 @@
-/// \file
-/// The part of the administration page that shows the cluster state: which jobs wait, and why, and
-/// which are late or will be.
+/// @file
+/// The part of the administration page that shows the cluster state: waiting jobs with the reason,
+/// and jobs that have missed or are about to miss an objective.
 #pragma once
 #include <string>
 
@@ -13,8 +13,9 @@
 
 namespace nickelramp::control {
 
-/// Renders the page from a term's parts, which it only reads. Made for one rendering by
-/// ControlLoop::overview. The names and texts of the page are fixed; operators' tools read them.
+/// Renders the page from the components of a term without changing them. ControlLoop::overview
+/// creates one per rendering. The names and texts on the page are fixed because operators' tools
+/// read them.
 class OverviewPage {
   public:
     OverviewPage(const cluster::TermContext& term, const cluster::ClusterState& cluster,
@@ -29,8 +30,8 @@
           shard_allocator_(shard_allocator),
           intent_log_(intent_log) {}
 
-    /// The page as of `now`. Lists at most 200 waiting and 200 late jobs. Durations on the page are
-    /// in seconds.
+    /// Returns the page as of `now`. Lists at most 200 waiting jobs and 200 late entries. Durations
+    /// on the page are in seconds.
     [[nodiscard]] wire::Json render(Millis now) const;
 
   private:
--- a/src/control/reachability_monitor.cpp
+++ b/src/control/reachability_monitor.cpp
@@ -5,7 +5,8 @@
 using machines::Reachability;
 
 namespace {
-/// Workers send a heartbeat at most a quarter of an interval late, and this much for the transport.
+// Workers send a heartbeat at most a quarter of an interval late. kTransportSlack is allowed for
+// the transport.
 constexpr double kLatestHeartbeatIntervals = 1.25;
 constexpr Millis kTransportSlack = 500;
 }  // namespace
--- a/src/control/reachability_monitor.h
+++ b/src/control/reachability_monitor.h
@@ -1,5 +1,5 @@
-/// \file
-/// How reachable a machine is, as HeartbeatReconciler and MachineChecker both judge it.
+/// @file
+/// Determines how reachable a machine is. Used by HeartbeatReconciler and MachineChecker.
 #pragma once
 #include "base/time.h"
 #include "machines/machine_registry.h"
@@ -8,18 +8,21 @@
 
 namespace nickelramp::control {
 
-/// Judges machines by their WorkerChannel and by whether the controllers have sockets left to hear
-/// them. Changes nothing. Owned by ControlLoop; `settings` must outlive it.
+/// Determines reachability from a machine's WorkerChannel and from whether the controllers have
+/// sockets left for its heartbeats. Changes no machine. Owned by ControlLoop. `settings` must
+/// outlive it.
 class ReachabilityMonitor {
   public:
     explicit ReachabilityMonitor(const wire::Settings& settings) : settings_(settings) {}
 
     /// Set by ControlLoop before each tick.
     void set_worker_capacity(const machines::WorkerCapacity& capacity) { capacity_ = capacity; }
-    /// While true, a missing heartbeat may be the fault of the controllers.
+    /// Returns whether a controller has run out of sockets lately. A missing heartbeat may then be
+    /// the fault of the controllers.
     [[nodiscard]] bool sockets_exhausted() const { return capacity_.sockets_exhausted; }
 
-    /// In milliseconds: a machine that nothing of ours has reached for longer is unresponsive.
+    /// Returns the time after the last message that reached a machine at which the machine counts
+    /// as unresponsive.
     [[nodiscard]] Millis unresponsive_timeout() const;
     [[nodiscard]] machines::Reachability reachability(const machines::Machine& machine,
                                                       Millis now) const;
