--- a/tests/control_attempts_test.cpp
+++ b/tests/control_attempts_test.cpp
@@ -1,4 +1,4 @@
-// Attempts, checkpoints and commands: the order in which a task is placed, recorded, sent and
+// Tests the order in which a task is placed, recorded in a checkpoint, sent to its machine and
 // ended.
 #include <gtest/gtest.h>
 
@@ -20,7 +20,8 @@
 using test::ControlFixture;
 using test::RecordingGateway;
 
-// A next attempt is accepted only when the one before it is gone, and none after a cancellation.
+// The next attempt of a task is accepted only after the previous one is gone, and no attempt is
+// accepted after a cancellation.
 TEST(ControlParts, NoTaskIsPlacedTwice) {
     ControlFixture fixture;
     Machine& machine = fixture.add_ready_machine("m-1", "plain", "a");
@@ -32,11 +33,11 @@
     EXPECT_NE(fixture.cluster.add_attempt(job, 0, 2, machine, 40), nullptr);
     fixture.cluster.cancel_job(job, 50);
     EXPECT_EQ(fixture.cluster.add_attempt(job, 1, 1, machine, 60), nullptr)
-        << "a start after a cancellation";
+        << "attempt accepted after a cancellation";
 }
 
-// Ending the first member of a gang that was never sent ended the others too, and the loop over
-// them went on with attempts that were destroyed.
+// Guards against a loop over destroyed attempts: if no member of a gang was sent yet, stopping the
+// first member also ends the others.
 TEST(ControlParts, AGangThatWasNeverSentIsStoppedAsAWhole) {
     ControlFixture fixture;
     fixture.add_ready_machine("m-1", "g4", "a");
@@ -50,8 +51,8 @@
     EXPECT_EQ(job.attempts.front()->number, 2u);
 }
 
-// No start is sent before its checkpoint is known to be written; after an unknown outcome the
-// record is read before anything builds on it.
+// No start command is sent before its checkpoint is known to be committed. If the outcome of a
+// commit is unknown, the record is read before the checkpoint is written again.
 TEST(ControlParts, ACheckpointPrecedesEveryStart) {
     ControlFixture fixture;
     fixture.add_ready_machine("m-1", "plain", "a");
@@ -66,9 +67,9 @@
         conditions[condition.key] = condition.version;
     EXPECT_EQ(conditions, (std::map<std::string, std::uint64_t>{
                               {"lead/term", 70}, {"open/job-1", 5}, {"run/job-1/0", 0}}));
-    EXPECT_EQ(fixture.checkpoint_writer.next_write_at(job), kNever) << "a transaction is under way";
+    EXPECT_EQ(fixture.checkpoint_writer.next_write_at(job), kNever) << "a transaction is in flight";
     RecordingGateway::answer(fixture.gateway.commits, 2000,
-                             kvstore::CommitReply{});  // its outcome is unknown
+                             kvstore::CommitReply{});  // an unknown outcome
     fixture.command_sender.send_queued(2000);
     EXPECT_TRUE(fixture.gateway.command_messages.empty());
     const Millis retry_at = fixture.checkpoint_writer.next_write_at(job);
@@ -87,7 +88,7 @@
     EXPECT_EQ(fixture.gateway.command_messages.front().commands.size(), 1u);
 }
 
-// After a conflict on the term's record nothing is sent.
+// After a conflict on the term's record no command is sent.
 TEST(ControlParts, AnEndedTermWritesAndStartsNothing) {
     ControlFixture fixture;
     fixture.add_ready_machine("m-1", "plain", "a");
@@ -104,10 +105,11 @@
     EXPECT_TRUE(fixture.gateway.command_messages.empty());
 }
 
-// The final status is written in the transaction that deletes the job's records, as many as fit
-// into it; the rest are deleted later. A cancelled job waits for its last task.
+// The final status is written in the transaction that deletes the job's records. Records that do
+// not fit into the transaction are deleted later. A cancelled job is finished after its last task
+// ended.
 TEST(ControlParts, AFinalStatusIsWrittenOnceNoTaskIsLeft) {
-    ControlFixture fixture;  // its settings allow six writes in a transaction
+    ControlFixture fixture;  // the settings allow six writes in a transaction
     Machine& machine = fixture.add_ready_machine("m-1", "g4", "a");
     wire::Json spec = test::job("job-1", "sweep", 64 * 8, 0);
     Job& job = fixture.add_job(spec);
@@ -116,7 +118,7 @@
     fixture.cluster.attempt_recorded(*attempt, 20);
     fixture.cluster.attempt_start_sent(*attempt, machine, 30);
     fixture.lifecycle.cancel(job, 40);
-    EXPECT_TRUE(fixture.gateway.commits.empty()) << "a task may still run";
+    EXPECT_TRUE(fixture.gateway.commits.empty()) << "a task may still be running";
     fixture.cluster.attempt_gone(*attempt, 50);
     ASSERT_EQ(fixture.gateway.commits.size(), 1u);
     const kvstore::Transaction& transaction = fixture.gateway.commits.front().transaction;
@@ -139,8 +141,9 @@
               (std::set<std::string>{"run/job-1/4", "run/job-1/5", "run/job-1/6", "run/job-1/7"}));
 }
 
-// A gang completes as a whole. The last leader may have recorded a part of that, and the machines
-// of the rest may be gone: neither another attempt nor any heartbeat would ever end the gang.
+// A gang completes as a whole, but the previous leader may have recorded only some of its tasks as
+// done. If the machines of the others are gone, no further attempt and no heartbeat would end the
+// gang.
 TEST(ControlParts, AGangRecordedAsPartlyDoneIsDone) {
     ControlFixture fixture;
     Job& job = fixture.add_job(test::job("job-1", "ensemble", 130, 0));
@@ -158,8 +161,8 @@
         "done");
 }
 
-// Commands that certainly never arrived are sent again under the same token; those that may be
-// under way are first made ineffective by a higher one.
+// Commands that certainly did not arrive are sent again under the same token. Commands that may
+// still be in flight are first fenced by a higher token.
 TEST(ControlParts, LostCommandsAreFencedRefusedOnesAreNot) {
     for (const bool lost : {false, true}) {
         ControlFixture fixture;
@@ -170,7 +173,7 @@
         fixture.command_sender.send_queued(1000);
         fixture.command_sender.queue(machine);
         fixture.command_sender.send_queued(1001);
-        ASSERT_EQ(fixture.gateway.command_messages.size(), 1u) << "one at a time";
+        ASSERT_EQ(fixture.gateway.command_messages.size(), 1u) << "one message in flight";
         const std::uint64_t token = machine.token;
         auto done = fixture.gateway.command_messages.front().done;
         fixture.gateway.command_messages.clear();
@@ -179,7 +182,7 @@
         done(1100, reply);
         EXPECT_EQ(attempt->state, lost ? AttemptState::starting : AttemptState::recorded);
         EXPECT_EQ(machine.token, lost ? token + 1 : token);
-        EXPECT_TRUE(fixture.gateway.command_messages.empty()) << "not at once";
+        EXPECT_TRUE(fixture.gateway.command_messages.empty()) << "sent before the back-off ended";
         fixture.command_sender.queue(machine);
         fixture.command_sender.send_queued(2000);
         ASSERT_EQ(fixture.gateway.command_messages.size(), 1u);
--- a/tests/control_loop_test.cpp
+++ b/tests/control_loop_test.cpp
@@ -1,5 +1,5 @@
-// The control loop in simulated clusters: whatever faults occur, no rule of the protocol is broken,
-// and once they cease every job finishes.
+// Tests the control loop in simulated clusters. Under any faults no rule of the protocol is broken,
+// and every job finishes after the faults end.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -28,11 +28,11 @@
     if (random() % 3 == 0) spec["standby"] = true;
     if (random() % 5 == 0 && spec["scatter"] == false) spec["yard"] = "a";
     if (random() % 6 == 0) spec["rigs"] = {"g4"};
-    if (random() % 8 == 0 && shape == "sweep") spec["legs"] = 150;  // more than one checkpoint
+    if (random() % 8 == 0 && shape == "sweep") spec["legs"] = 150;  // needs several checkpoints
     return spec;
 }
 
-// The first of the jobs that has no final state; empty: all have one.
+// Returns the first of the jobs without a final state, or an empty string if all have one.
 std::string first_open_job(const ClusterSimulation& simulation,
                            const std::vector<std::string>& ids) {
     for (const std::string& id : ids) {
@@ -41,7 +41,7 @@
     return {};
 }
 
-// The states of the leader's open jobs and their attempts, for messages.
+// Describes the states of the leader's open jobs and their attempts for failure messages.
 std::string describe_open_jobs(ClusterSimulation& simulation) {
     std::string description;
     for (const auto& [id, job] : simulation.leader()->open_jobs()) {
@@ -56,7 +56,8 @@
     return description;
 }
 
-// Submits 14 random jobs, and cancels some, while faults occur. Returns the services' ids.
+// Submits 14 random jobs and cancels some of them while faults occur. Adds the ids of the jobs to
+// `ids` and returns those of the services.
 std::vector<std::string> submit_random_jobs(ClusterSimulation& simulation, std::mt19937_64& random,
                                             std::vector<std::string>& ids) {
     std::vector<std::string> services;
@@ -75,9 +76,10 @@
     return services;
 }
 
-// Runs a day of random jobs and faults; afterwards, without faults, all must finish. Returns how
-// many shard grants the holders accepted.
-std::size_t run_random_day(std::uint64_t seed, const Faults& faults, std::uint32_t shard_share) {
+// Runs random jobs under random faults, then clears the faults and expects all jobs to finish.
+// Returns how many shard grants the holders accepted.
+std::size_t run_random_simulation(std::uint64_t seed, const Faults& faults,
+                                  std::uint32_t shard_share) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     ClusterSimulation simulation(seed, faults, shard_share);
     std::mt19937_64 random(seed * 31 + 1);
@@ -93,23 +95,23 @@
         simulation.run_until(simulation.now() + 5'000);
     }
     EXPECT_EQ(first_open_job(simulation, ids), "")
-        << "is not finished long after the faults; " << describe_open_jobs(simulation)
+        << "is not finished long after the faults ended; " << describe_open_jobs(simulation)
         << simulation.describe_running();
     EXPECT_GT(simulation.started_tasks(), 20u);
-    // Intents that the cloud has answered are removed from the record.
+    // Recorded intents are removed once the cloud has replied.
     for (int n = 0; n < 200 && simulation.recorded_intents() > 0; ++n)
         simulation.run_until(simulation.now() + 5'000);
     EXPECT_EQ(simulation.recorded_intents(), 0u);
     return simulation.accepted_shard_grants();
 }
 
-// Days with the seeds from `from` to `to` - 1, until one fails. `shard_share`: by seed. Returns how
-// many shard grants the holders accepted.
-std::size_t run_random_days(std::uint64_t from, std::uint64_t to, const Faults& faults,
-                            const std::function<std::uint32_t(std::uint64_t)>& shard_share) {
+// Runs simulations with the seeds from `from` to `to` - 1 until one fails. `shard_share` is a
+// function of the seed. Returns how many shard grants the holders accepted.
+std::size_t run_random_simulations(std::uint64_t from, std::uint64_t to, const Faults& faults,
+                                   const std::function<std::uint32_t(std::uint64_t)>& shard_share) {
     std::size_t accepted_grants = 0;
     for (std::uint64_t seed = from; seed < to && !testing::Test::HasFailure(); ++seed)
-        accepted_grants += run_random_day(seed, faults, shard_share(seed));
+        accepted_grants += run_random_simulation(seed, faults, shard_share(seed));
     return accepted_grants;
 }
 std::uint32_t no_shards(std::uint64_t) { return 0; }
@@ -118,7 +120,7 @@
     return simulation.running_tasks("a") + simulation.running_tasks("b");
 }
 
-TEST(ControlLoop, RulesHoldWithoutFaults) { run_random_days(1, 5, {}, no_shards); }
+TEST(ControlLoop, RulesHoldWithoutFaults) { run_random_simulations(1, 5, {}, no_shards); }
 
 TEST(ControlLoop, RulesHoldWithLostAndLateMessages) {
     Faults faults;
@@ -126,7 +128,7 @@
     faults.delayed_commands = 0.05;
     faults.unknown_commits = 0.1;
     faults.lost_heartbeats = 0.1;
-    run_random_days(10, 22, faults, no_shards);
+    run_random_simulations(10, 22, faults, no_shards);
 }
 
 TEST(ControlLoop, RulesHoldDuringFailoversWithLingeringOldLeaders) {
@@ -135,16 +137,16 @@
     faults.lingering_old_leaders = 0.6;
     faults.delayed_commands = 0.05;
     faults.lost_heartbeats = 0.05;
-    run_random_days(30, 42, faults, no_shards);
+    run_random_simulations(30, 42, faults, no_shards);
 }
 
 TEST(ControlLoop, RulesHoldWithAllFaultsAtOnce) {
     Faults faults{0.08, 0.04, 0.08, 0.08, 0.3, 0.1, 0.02, 0.03, 0.5};
-    run_random_days(50, 66, faults, no_shards);
+    run_random_simulations(50, 66, faults, no_shards);
 }
 
 TEST(ControlLoop, RulesHoldWithShardsOfOtherControllers) {
-    EXPECT_GT(run_random_days(70, 78, {}, [](std::uint64_t) { return 1; }), 50u);
+    EXPECT_GT(run_random_simulations(70, 78, {}, [](std::uint64_t) { return 1; }), 50u);
 }
 
 TEST(ControlLoop, RulesHoldWhenShardHoldersDieOrLoseTheLeader) {
@@ -160,11 +162,11 @@
     const auto shard_share = [](std::uint64_t seed) {
         return static_cast<std::uint32_t>(1 + seed % 2);
     };
-    EXPECT_GT(run_random_days(80, 100, faults, shard_share), 50u);
+    EXPECT_GT(run_random_simulations(80, 100, faults, shard_share), 50u);
 }
 
-// A cloud that executes provisioning and release requests a minute late, or without a reply, while
-// leaders change. Guards against: late releases took machines away on which a later leader had
+// The cloud executes provisioning and release requests a minute late or without a reply while
+// leaders change. Guards against late releases that remove machines on which a later leader has
 // placed tasks.
 TEST(ControlLoop, RulesHoldWithALateCloudAndFailovers) {
     Faults faults;
@@ -174,12 +176,13 @@
     faults.failovers_per_s = 0.04;
     faults.lingering_old_leaders = 0.5;
     faults.unknown_commits = 0.05;
-    run_random_days(200, 216, faults, no_shards);
+    run_random_simulations(200, 216, faults, no_shards);
 }
 
-// A fault at every step: as the leader sends its n-th message to the key-value store or the cloud,
-// it crashes, or freezes and the message goes out when it is long replaced, or the message alone is
-// delayed. Three machines are needed. Guards against: each successor provisioned more.
+// Injects a fault when the leader sends its n-th message to the key-value store or the cloud, for
+// every n. The leader crashes, or freezes and sends the message long after it was replaced, or only
+// the message is delayed. Three machines are needed. Guards against successors that each provision
+// further machines.
 TEST(ControlLoop, AFaultAtAnySendProvisionsNothingTwice) {
     for (test::SendFault fault :
          {test::SendFault::crash, test::SendFault::freeze, test::SendFault::delay}) {
@@ -200,7 +203,7 @@
             for (int n = 0; n < 60 && simulation.final_state("job-1").empty(); ++n)
                 simulation.run_until(simulation.now() + 5'000);
             EXPECT_EQ(simulation.final_state("job-1"), "withdrawn");
-            // No job is left: all machines are released, once.
+            // Without any job all machines are released, each of them once.
             simulation.run_until(simulation.now() + 900'000);
             EXPECT_EQ(simulation.provisioned_machines(), 3u);
             EXPECT_EQ(simulation.released_machines(), 3u);
@@ -211,8 +214,9 @@
     }
 }
 
-// The leader freezes as it releases machines; they go 25 s later, and a job has come meanwhile. The
-// successor finds them on record as being released, and places its tasks elsewhere.
+// The leader freezes while it releases machines, which are removed 25 s later. A job is submitted
+// in between. The successor finds the recorded releases and places the job's tasks on other
+// machines.
 TEST(ControlLoop, MachinesBeingReleasedGetNoWorkFromASuccessor) {
     std::size_t tried = 0;
     for (std::uint64_t seed = 11; seed < 16; ++seed) {
@@ -240,9 +244,8 @@
     EXPECT_GE(tried, 6u);
 }
 
-// Guards against: a heartbeat that came between the reclaiming of a shard and the reading of its
-// jobs' records showed tasks that the cluster state did not know yet, and they were stopped as
-// unknown.
+// Guards against tasks that are stopped as unknown when a heartbeat lists them after their shard
+// was reclaimed but before the records of its jobs were read.
 TEST(ControlLoop, TasksOfAReclaimedShardKeepRunning) {
     std::size_t tried = 0;
     for (std::uint64_t seed = 120; seed < 160 && !HasFailure(); ++seed) {
@@ -275,8 +278,8 @@
     EXPECT_GE(tried, 5u);
 }
 
-// One member has its image, the others fetch theirs for longer than it waits. Guards against: it
-// ended the attempt, and their fetches with it, over and over.
+// One member of a gang has its image, and the others take longer to fetch theirs than the member
+// waits. Guards against a member that repeatedly ends the attempt and with it the others' fetches.
 TEST(ControlLoop, AGangStartsThoughItsImagesTakeLongerThanItsMembersWait) {
     for (std::uint64_t seed : {901, 902, 903, 904}) {
         SCOPED_TRACE(seed);
@@ -296,8 +299,8 @@
     }
 }
 
-// A gang needs its part of its team's limit all at once. Guards against: small tasks of the same
-// team took whatever came free, as long as there were any.
+// A gang needs its share of its team's quota all at once. Guards against small tasks of the same
+// team that use all quota as soon as it becomes free.
 TEST(ControlLoop, AGangBlockedByItsTeamsLimitStartsEventually) {
     for (std::uint64_t seed = 921; seed < 926; ++seed) {
         SCOPED_TRACE(seed);
@@ -307,11 +310,11 @@
         simulation.run_until(30'000);
         simulation.submit(gang);  // 8 of the team's 12
         const Millis submitted_at = simulation.now();
-        // Quota is reserved for the gang after 150 s; soon enough of it comes free.
+        // Quota is reserved for the gang after 150 s. Within 30 s enough of it becomes free.
         simulation.run_until(submitted_at + 150'000 + 30'000);
         EXPECT_EQ(simulation.final_state("job-1"), "done") << simulation.describe_running();
         EXPECT_EQ(simulation.final_state("job-0"), "");
-        // And long tasks of lower priority are preempted for a gang.
+        // Long tasks of lower priority are preempted for a gang.
         ClusterSimulation other(seed, {});
         for (int n = 0; n < 12; ++n) {
             wire::Json replica = job("job-" + std::to_string(n), "standing", 1, 1);
@@ -329,7 +332,7 @@
     }
 }
 
-// Quota reserved for a gang is not kept for ever when no machine can be provisioned for it.
+// Quota reserved for a gang is released again if no machine can be provisioned for the gang.
 TEST(ControlLoop, ReservedMachinesAreUsedWhenNoNewMachineArrives) {
     ClusterSimulation simulation(927, {});
     wire::Json array = job("job-0", "sweep", 2'000, 1), gang = job("job-1", "ensemble", 2, 4);
@@ -344,7 +347,7 @@
     simulation.submit(gang);
     simulation.run_until(simulation.now() + 150'000);
     bool reserved = false;
-    std::size_t most_running = 0;  // after that
+    std::size_t most_running = 0;  // after quota was reserved
     for (int n = 0; n < 100; ++n) {
         simulation.run_until(simulation.now() + 1'000);
         reserved |= simulation.running_tasks("a") <= 4;
@@ -354,8 +357,8 @@
     EXPECT_GE(most_running, 8u);
 }
 
-// A job that was submitted with a mistake fails everywhere until it is cancelled: it takes one slot
-// at a time, no machine is quarantined for it, and other jobs run as ever.
+// A faulty job fails on every machine until it is cancelled. It uses one slot at a time, does not
+// cause any machine to be quarantined, and does not delay other jobs.
 TEST(ControlLoop, AFaultyJobUsesLittleAndQuarantinesNoMachine) {
     for (std::uint64_t seed : {911, 912, 913}) {
         SCOPED_TRACE(seed);
@@ -375,7 +378,7 @@
         for (int n = 1; n <= 6; ++n)
             EXPECT_EQ(simulation.final_state("job-" + std::to_string(n)), "done") << n;
         EXPECT_LE(simulation.started_tasks(),
-                  started_before + 60 + 12);  // all of the other jobs, few of the faulty one
+                  started_before + 60 + 12);  // 60 of the other jobs, few of the faulty one
         for (const auto* machine : simulation.leader()->registry().all())
             EXPECT_TRUE(machine->failed_jobs.empty()) << machine->name;
         simulation.cancel("job-0");
--- a/tests/control_queue_test.cpp
+++ b/tests/control_queue_test.cpp
@@ -1,4 +1,4 @@
-// The forecast of when the jobs of the queue start.
+// Tests the forecast of when the queued jobs start.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -13,8 +13,8 @@
 using jobs::Job;
 using test::ControlFixture;
 
-// The forecast of the queue is compared with a plain one that serves it task by task. They may
-// differ by one round of tasks, and by the margin of the forecast.
+// Compares the forecast of the queue with a simple simulation that runs the queue task by task. The
+// two may differ by one round of tasks and by the margin of the forecast.
 TEST(ControlParts, TheQueueForecastMatchesATaskByTaskSimulation) {
     EXPECT_TRUE(rc::check([] {
         wire::Settings settings = test::simulation_settings();
@@ -24,8 +24,8 @@
         const int machines = *rc::gen::inRange(1, 6);
         for (int n = 0; n < machines; ++n)
             fixture.add_ready_machine("m-" + std::to_string(n), "plain", "a");
-        const double slots = machines * 4;  // of two cpus
-        double served_s = 0;                // when the queue up to a job is served, at the latest
+        const double slots = machines * 4;  // with two cpus each
+        double served_s = 0;                // latest end of all jobs up to the current one
         std::vector<Job*> jobs;
         for (int n = 0; n < 4; ++n) {
             const auto tasks = *rc::gen::inRange(1u, 120u);
@@ -39,7 +39,7 @@
         for (Job* job : queue) {
             served_s += job->spec.tasks * 10.0 / slots;
             if (fixture.job_queue.shortage().job != kNone)
-                break;  // from here on the forecast counts machines to come
+                break;  // from here on the forecast includes machines that are being provisioned
             const double due_s = *job->spec.deadline_s;
             if (served_s + 20 < 0.85 * due_s) RC_ASSERT(job->slack == jobs::ScheduleSlack::on_time);
             if (served_s - 20 > due_s) RC_ASSERT(job->slack == jobs::ScheduleSlack::at_risk);
--- a/tests/control_recount_test.cpp
+++ b/tests/control_recount_test.cpp
@@ -1,4 +1,4 @@
-// The cluster state is compared with a plain recount after every step of random histories.
+// Compares the cluster state with a full recount after every step of random histories.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -24,11 +24,11 @@
 using machines::Reachability;
 using test::ControlFixture;
 
-constexpr double kSumTolerance = 1e-6;  // sums that are kept differ from a recount in the last bits
+constexpr double kSumTolerance = 1e-6;  // incremental sums and a recount differ by rounding
 
 bool nearly_equal(double a, double b) { return std::abs(a - b) < kSumTolerance; }
 
-// Which attempt is on which machine, for the trace.
+// Adds the machine of every live attempt to the trace.
 void trace_placements(const ControlFixture& fixture) {
     std::map<std::tuple<std::string, std::uint32_t, std::uint32_t>, std::string> machines;
     for (const auto& [id, job] : fixture.cluster.jobs()) {
@@ -44,8 +44,8 @@
     }
 }
 
-// Counts everything anew from the jobs' attempts and the machines' states, and compares it with
-// what is kept change by change.
+// Recounts all sums and indices from the jobs' attempts and the machines' states, and compares them
+// with those that the cluster state updates incrementally.
 class Recount {
   public:
     explicit Recount(ControlFixture& fixture) : fixture_(fixture), cluster_(fixture.cluster) {}
@@ -195,8 +195,9 @@
     double replica_slots_ = 0;
 };
 
-// Searches and forecasts rest on sums that are kept change by change. Any path that changes a state
-// without them would make the scheduler look for slots that are not there.
+// Placement searches and forecasts use sums that are updated with every change. Guards against a
+// change of state that does not update them, after which the scheduler would search for slots that
+// do not exist.
 TEST(ControlParts, ClusterStateMatchesARecount) {
     EXPECT_TRUE(rc::check([] {
         test::RandomHistory history;
--- a/tests/reachability_monitor_test.cpp
+++ b/tests/reachability_monitor_test.cpp
@@ -1,5 +1,5 @@
-// How ReachabilityMonitor judges a machine: by replies and heartbeats, and by whether controllers
-// have sockets left to hear it.
+// Tests how ReachabilityMonitor determines a machine's reachability from its replies and heartbeats
+// and from whether the controllers have sockets left for heartbeats.
 #include "control/reachability_monitor.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
         settings.lease_s = 20;
         machine.channel.take_control(10, 1'000);
     }
-    // The machine answers a command every second from `from` to `to`, and sends no heartbeat.
+    // Lets the machine answer a command every second from `from` to `to`, without any heartbeat.
     void answer_commands(Millis from, Millis to) {
         for (Millis now = from; now <= to; now += 1'000)
             machine.channel.on_command_reply(report(1, ++sequence, 10),
@@ -33,7 +33,7 @@
     std::uint64_t sequence = 0;
 };
 
-TEST_F(ReachabilityMonitorTest, IsUnresponsiveAfterALateHeartbeatAndTransport) {
+TEST_F(ReachabilityMonitorTest, AllowsForALateHeartbeatAndTransportDelay) {
     EXPECT_EQ(monitor.unresponsive_timeout(), 5'500);
     EXPECT_EQ(monitor.reachability(machine, 6'500), Reachability::reachable);
     EXPECT_EQ(monitor.reachability(machine, 6'501), Reachability::unresponsive);
@@ -54,7 +54,7 @@
     EXPECT_EQ(monitor.reachability(machine, 20'000), Reachability::inbound_only);
 }
 
-TEST_F(ReachabilityMonitorTest, AnUnresponsiveMachineIsNotCalledInboundOnly) {
+TEST_F(ReachabilityMonitorTest, AnUnresponsiveMachineIsNotInboundOnly) {
     answer_commands(2'000, 3'000);
     EXPECT_EQ(monitor.reachability(machine, 20'000), Reachability::unresponsive);
 }
