--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -286,7 +286,8 @@
     machine.retry_command_at = now + retry_delay(machine, outcome_unknown);
 }
 
-// Machines in a lost zone are retried less often, because there may be many of them.
+// Machines in a lost zone and machines that commands do not reach are retried less often, because
+// there may be many of them.
 Millis CommandSender::retry_delay(const Machine& machine, bool outcome_unknown) const {
     if (failure_detector_.is_lost(machine.zone) ||
         machine.reachability == machines::Reachability::replies_only)
--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -51,7 +51,7 @@
 /// decisions. Owns no sockets and reads no clock: messages and times (milliseconds of the steady
 /// clock) are arguments, and requests are sent through ServiceGateway. Everything runs on the
 /// controller's loop thread. The term is over once a token or record of another controller was
-/// seen. The control loop then changes nothing any more and notifies its owner through
+/// seen. The control loop then no longer changes anything and notifies its owner through
 /// ServiceGateway::on_deposed. The owner may destroy it only while none of its callbacks is
 /// running. Called by Controller, HeartbeatHandler and ShardHolder. `settings` and `gateway` must
 /// outlive it.
--- a/src/control/heartbeat_reconciler.cpp
+++ b/src/control/heartbeat_reconciler.cpp
@@ -113,8 +113,8 @@
         command_sender_.probe(machine, now);
 }
 
-// Rejects a heartbeat with a higher token than this term has issued for the machine, which would
-// reject every command.
+// Rejects a heartbeat with a higher token than this term has issued for the machine. Such a machine
+// would reject every command.
 HeartbeatReply HeartbeatReconciler::reject_unissued_token(Machine& machine,
                                                           EvidenceFreshness freshness, Millis now) {
     if (term_.is_shard_holder()) return HeartbeatReply::misdirected();
--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -16,7 +16,7 @@
 constexpr double kUnknownTypeBootS = 60;
 // Commands take 2 s to fail, and other machines are probed after that.
 constexpr Millis kCommandsLostTimeout = 5'000;
-// Time from the first lost command by which another controller has taken over if any can lead.
+// Time after the first lost command within which another controller takes over if any can lead.
 constexpr Millis kTakeoverTimeout = 20'000;
 constexpr Millis kProbeInterval = 1'000;
 constexpr std::size_t kMachinesPerProbe = 8;
--- a/src/control/machine_checker.h
+++ b/src/control/machine_checker.h
@@ -22,8 +22,9 @@
 ///
 /// Attempts on a machine are declared gone only when its lease has certainly expired, whichever
 /// controller may have replied to its heartbeats. The failure detector decides whether an
-/// unresponsive machine is declared lost. Owned by ControlLoop and called by ControlLoop::tick. All
-/// references must outlive the checker.
+/// unresponsive machine is declared lost. Machines that become unresponsive together are counted
+/// before the first of them is declared lost. Owned by ControlLoop and called by ControlLoop::tick.
+/// All references must outlive the checker.
 class MachineChecker {
   public:
     MachineChecker(const cluster::TermContext& term, cluster::ClusterState& cluster,
--- a/tests/control_attempts_test.cpp
+++ b/tests/control_attempts_test.cpp
@@ -106,8 +106,8 @@
 }
 
 // The final status is written in the transaction that deletes the job's records. Records that do
-// not fit into the transaction are deleted later. A cancelled job is finished after its last task
-// ended.
+// not fit into the transaction are deleted later. A cancelled job is finished once its last task
+// has ended.
 TEST(ControlParts, AFinalStatusIsWrittenOnceNoTaskIsLeft) {
     ControlFixture fixture;  // the settings allow six writes in a transaction
     Machine& machine = fixture.add_ready_machine("m-1", "g4", "a");
--- a/tests/control_loop_test.cpp
+++ b/tests/control_loop_test.cpp
@@ -378,7 +378,7 @@
         for (int n = 1; n <= 6; ++n)
             EXPECT_EQ(simulation.final_state("job-" + std::to_string(n)), "done") << n;
         EXPECT_LE(simulation.started_tasks(),
-                  started_before + 60 + 12);  // 60 of the other jobs, few of the faulty one
+                  started_before + 60 + 12);  // 60 tasks of the other jobs, few of the faulty one
         for (const auto* machine : simulation.leader()->registry().all())
             EXPECT_TRUE(machine->failed_jobs.empty()) << machine->name;
         simulation.cancel("job-0");
