--- a/src/scheduling/free_resources.h
+++ b/src/scheduling/free_resources.h
@@ -1,5 +1,6 @@
 /// @file
-/// What a machine has free, as a value that plans may change without touching the machine.
+/// The free resources of a machine, as a value that planning code can change without changing the
+/// machine.
 #pragma once
 #include <cstdint>
 
@@ -7,33 +8,33 @@
 
 namespace nickelramp::scheduling {
 
-/// Free cpus, gpus and memory (GB) of a machine, real or planned. Plans of the scheduler and of the
-/// autoscaler work on copies of it.
+/// Free cpus, gpus and memory (GB) of an existing or planned machine. The scheduler and the
+/// autoscaler plan on copies of it.
 struct FreeResources {
     double cpus = 0, gpus = 0, memory_gb = 0;
 
-    /// What is free on the machine now.
+    /// Returns what is free on the machine now.
     [[nodiscard]] static FreeResources of(const machines::Machine& machine) {
         return {machine.cpus_free, machine.gpus_free, machine.memory_free};
     }
-    /// What an empty machine of the type has.
+    /// Returns what an empty machine of the type has.
     [[nodiscard]] static FreeResources of(const wire::MachineType& type) {
         return {type.cpus, type.gpus, type.memory_gb};
     }
 
-    /// One task with this need has gone.
+    /// Adds what one task with this need frees when it ends.
     void add(const placement::Need& need) {
         cpus += need.cpus;
         gpus += need.gpus;
         memory_gb += need.memory_gb;
     }
-    /// That many tasks with this need have come.
+    /// Subtracts what the given number of tasks with this need occupy.
     void subtract(const placement::Need& need, std::uint32_t tasks) {
         cpus -= tasks * need.cpus;
         gpus -= tasks * need.gpus;
         memory_gb -= tasks * need.memory_gb;
     }
-    /// How many tasks with this need fit, at most `limit`.
+    /// Returns how many tasks with this need fit, at most `limit`.
     [[nodiscard]] std::uint32_t tasks_that_fit(const placement::Need& need,
                                                std::uint32_t limit) const {
         return placement::tasks_that_fit(cpus, gpus, memory_gb, need, limit);
--- a/src/scheduling/gang_placement.h
+++ b/src/scheduling/gang_placement.h
@@ -1,5 +1,5 @@
 /// @file
-/// Places all tasks of a gang at once, or none.
+/// Gang scheduling: places all tasks of a gang at once, or none.
 #pragma once
 #include <optional>
 #include <vector>
@@ -9,23 +9,23 @@
 
 namespace nickelramp::scheduling {
 
-/// One attempt at placing a gang as a whole. A zone alone is preferred to all zones together, and
-/// of several zones the one whose worst machine costs least. Lives for one call of
-/// Scheduler::place_job; use run() once.
+/// One attempt at placing a gang as a whole. Compares placements within a single zone and, if
+/// allowed, across all zones, by the cost of the most expensive machine used. On equal cost a
+/// single zone is preferred. Created for one call of Scheduler::place_job; call run() once.
 class GangPlacement {
   public:
     GangPlacement(cluster::ClusterState& cluster, const PlacementRules& rules, jobs::Job& gang,
                   Millis now);
 
-    /// Starts all tasks, or none, within the team's quota; on success releases what was reserved
-    /// for the gang.
+    /// Starts all tasks, or none, within the team's quota. On success releases the machines that
+    /// were reserved for the gang.
     /// @return true if all tasks were started.
     [[nodiscard]] bool run();
 
   private:
     struct Candidate {
         machines::Machine* machine;
-        std::uint32_t tasks;  // that fit, or in an assignment: that go there
+        std::uint32_t tasks;  // tasks that fit; in an Assignment, tasks assigned to the machine
         double cost;
     };
     struct Assignment {
@@ -33,7 +33,8 @@
         double worst_cost = 0;
     };
     void collect_candidates();
-    /// In one zone, or (kNone) wherever; nothing if the gang does not fit.
+    /// Assigns the gang to machines of one zone, or of any zone if `zone` is kNone. Returns nullopt
+    /// if the gang does not fit.
     [[nodiscard]] std::optional<Assignment> assign_in(Index zone) const;
     [[nodiscard]] std::optional<Assignment> best_assignment() const;
     [[nodiscard]] bool start(const Assignment& assignment);
@@ -42,7 +43,7 @@
     const PlacementRules& rules_;
     jobs::Job& gang_;
     const Millis now_;
-    std::vector<Candidate> candidates_;  // the cheapest first
+    std::vector<Candidate> candidates_;  // cheapest first
 };
 
 }  // namespace nickelramp::scheduling
--- a/src/scheduling/gang_wait_limits.h
+++ b/src/scheduling/gang_wait_limits.h
@@ -1,16 +1,16 @@
 /// @file
-/// How long a gang may wait within its team's quota before that is cleared for it.
+/// How long a gang waits before quota of its team is reserved or freed for it.
 #pragma once
 #include "base/time.h"
 
 namespace nickelramp::scheduling {
 
-/// Even the largest jobs are to begin within this time, in milliseconds.
+/// Target time from acceptance to start, even for the largest gangs.
 inline constexpr Millis kGangStartTarget = 240'000;
-/// From this age on, what comes free in its team's quota is reserved for a gang. Sooner, arrays
-/// would wait longer than gangs gain (docs/rounds.md, round 49).
+/// Age from which quota that its team frees is reserved for a waiting gang. Reserving earlier
+/// delays arrays by more than it speeds up gangs (docs/rounds.md, round 49).
 inline constexpr Millis kReserveQuotaAfter = kGangStartTarget * 5 / 8;
-/// From this age on, work of the same team is stopped for it.
+/// Age from which tasks of the same team are preempted for a waiting gang.
 inline constexpr Millis kPreemptInQuotaAfter = kGangStartTarget * 3 / 4;
 
 }  // namespace nickelramp::scheduling
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -15,18 +15,19 @@
 using wire::Priority;
 
 namespace {
-constexpr Millis kSearchInterval = 500;  // between two searches for one job
+constexpr Millis kSearchInterval = 500;  // between preemption searches for one job
 }  // namespace
 
 bool Scheduler::place_job(Job& job, Millis now) {
-    // A job on trial after failures shows with one task that it has recovered: the rest waits.
+    // A job on trial after failures runs one task at a time, so its other tasks are not placed now.
     if (job.placeable_tasks() == 0) return true;
-    // Replicas stay for long: they take a slot on an expensive machine only when room on a cheap
-    // one can't be made soon.
+    // Replicas run for a long time. They use a slot on an expensive machine only if no room can
+    // soon be made on a cheap one.
     job.avoids_expensive_machines =
         job.is_service() && (job.unplaced_since == 0 || now - job.unplaced_since < kStopOverhead);
     if (job.is_gang() ? place_gang(job, now) : place_tasks(job, now)) return true;
-    if (job.is_gang() && now - job.accepted_at > kReserveQuotaAfter) wait_for_quota(job, now);
+    if (job.is_gang() && now - job.accepted_at > kReserveQuotaAfter)
+        update_quota_reservation(job, now);
     const bool room_is_being_made = make_room(job, now);
     if (!job.avoids_expensive_machines || room_is_being_made || job.unplaced_tasks() == 0)
         return false;
@@ -49,17 +50,18 @@
     return tasks > 0 && rules_.within_limit(job, tasks) && preempt_for(job, tasks, now);
 }
 
-// Of many machines a search looks at some, and the next one at others.
+// A search examines a limited number of machines, and the next search continues after them.
 bool Scheduler::preempt_for(Job& job, std::uint32_t tasks, Millis now) {
     if (job.spec.priority < Priority::high && !job.within_guaranteed_quota) return false;
     if (now < job.next_preemption_at) return job.preemption_under_way;
     const std::size_t search_size = PreemptionSearch::machines_to_search(cluster_, job, tasks);
-    // What costs more is done less often.
+    // Searches of more machines take longer and are made less often.
     const std::size_t intervals = 1 + search_size / (PreemptionSearch::kMachinesPerSearch + 1);
     job.next_preemption_at = now + kSearchInterval * static_cast<Millis>(intervals);
     job.preemption_under_way = false;
     if (job.reservations_since != 0 && now - job.reservations_since > jobs::kMaxHoldBack) {
-        // Machines were cleared for it and it got no place: others may have them for a while.
+        // The job was not placed on its reserved machines in time, so other jobs may use them for a
+        // while.
         release_reservations(cluster_, job);
         job.next_preemption_at = now + kReservationDuration;
         job.reservations_since = 0;
@@ -72,9 +74,10 @@
     return job.preemption_under_way = search.preempt();
 }
 
-// What was reserved in its team's quota is kept for a gang that fits it for as long as a machine
-// for it would take; then others may have it again, and it is reserved anew when need be.
-void Scheduler::wait_for_quota(Job& gang, Millis now) {
+// While the gang does not fit its team's quota, reserves quota for it or preempts tasks of the
+// team. Once the gang fits, the reservation is kept for about as long as a machine takes to boot.
+// It is then paused so that other jobs of the team can use the quota.
+void Scheduler::update_quota_reservation(Job& gang, Millis now) {
     if (!rules_.within_limit(gang, gang.spec.tasks)) {
         gang.fits_limit_since = 0;
         if (cluster_.may_reserve_quota(gang.team, now)) QuotaPreemption(cluster_, gang, now).run();
@@ -82,7 +85,8 @@
     }
     if (gang.fits_limit_since == 0) {
         gang.fits_limit_since = now;
-        // What was found out about room in the quota says nothing about room on machines.
+        // These two fields were set by preemption within the quota. They start anew for preemption
+        // on machines.
         gang.preemption_under_way = false;
         gang.next_preemption_at = 0;
     }
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -1,6 +1,6 @@
 /// @file
-/// Decides which machine starts which task: gangs as a whole, other jobs task by task; and preempts
-/// less urgent work where that is worth it.
+/// Assigns waiting tasks to machines, gangs as a whole and other jobs task by task. Preempts less
+/// urgent work where that is worth its cost.
 #pragma once
 #include <cstddef>
 
@@ -11,10 +11,10 @@
 namespace nickelramp::scheduling {
 
 /// Places jobs one at a time, in the order of JobQueue. The control loop calls it in each
-/// scheduling pass of a term while the lease is confirmed, on the loop thread. It keeps nothing
-/// between calls but where the next search for preemption begins; it sends nothing and reads no
-/// clock: all effects are changes of the ClusterState. Nothing fails; what finds no place is asked
-/// for again in the next pass.
+/// scheduling pass of a term while the lease is confirmed, on the loop thread. Between calls it
+/// keeps only the position at which the next preemption search begins. It sends no messages and
+/// reads no clock. It only changes the ClusterState. Tasks that cannot be placed are tried again in
+/// the next pass.
 class Scheduler {
   public:
     /// The references must outlive the scheduler.
@@ -22,7 +22,7 @@
               const PlacementRules& rules)
         : cluster_(cluster), forecast_(forecast), rules_(rules) {}
 
-    /// Starts as many tasks of the job as find a place, and makes room for the rest if the job is
+    /// Starts as many tasks of the job as fit, and preempts other tasks for the rest if the job is
     /// urgent enough.
     /// @param now milliseconds of the steady clock
     /// @return true if no task of the job is left to start
@@ -33,12 +33,12 @@
     [[nodiscard]] bool place_gang(jobs::Job& job, Millis now);
     [[nodiscard]] bool make_room(jobs::Job& job, Millis now);
     [[nodiscard]] bool preempt_for(jobs::Job& job, std::uint32_t tasks, Millis now);
-    void wait_for_quota(jobs::Job& gang, Millis now);
+    void update_quota_reservation(jobs::Job& gang, Millis now);
 
     cluster::ClusterState& cluster_;
     forecast::DemandForecast& forecast_;
     const PlacementRules& rules_;
-    std::size_t next_searched_machine_ = 0;  // where the next search for preemption begins
+    std::size_t next_searched_machine_ = 0;  // start of the next preemption search
 };
 
 }  // namespace nickelramp::scheduling
--- a/src/scheduling/task_placement.cpp
+++ b/src/scheduling/task_placement.cpp
@@ -34,7 +34,7 @@
     collect_candidates();
     wanted_replica_slots_ = forecast_.wanted_replica_slots(now_);
     while (!candidates_.empty() && job_.unplaced_tasks() > 0 && rules_.within_limit(job_, 1)) {
-        Machine& machine = take_cheapest();
+        Machine& machine = pop_cheapest();
         if (!may_use(machine)) continue;
         if (!start_next_task(machine)) return false;
         if (job_.placeable_tasks() == 0) return true;
@@ -77,7 +77,7 @@
     return {cost, &machine};
 }
 
-Machine& TaskPlacement::take_cheapest() {
+Machine& TaskPlacement::pop_cheapest() {
     std::pop_heap(candidates_.begin(), candidates_.end());
     Machine* machine = candidates_.back().machine;
     candidates_.pop_back();
@@ -88,7 +88,7 @@
     return now_ < machine.cordoned_until || rules_.should_avoid(job_, machine);
 }
 
-// Each task that was placed may have changed the answer, so this is asked anew for each.
+// The result can change with each task that is placed, so it is computed anew for each task.
 bool TaskPlacement::may_use(const Machine& machine) {
     if (withheld_.withholds(withheld_from_job(machine))) return false;
     if (job_.spec.one_zone && zone_ != kNone && machine.zone != zone_) return false;
--- a/src/scheduling/task_placement.h
+++ b/src/scheduling/task_placement.h
@@ -1,5 +1,5 @@
 /// @file
-/// Places the tasks of one array or service, one after the other.
+/// Places the tasks of one array or service one by one.
 #pragma once
 #include <vector>
 
@@ -11,8 +11,8 @@
 
 namespace nickelramp::scheduling {
 
-/// One attempt at placing the waiting tasks of an array or a service, each on the machine that
-/// costs least at that moment. Lives for one call of Scheduler::place_job; use run() once.
+/// One attempt at placing the waiting tasks of an array or service, each on the machine with the
+/// lowest cost at that moment. Created for one call of Scheduler::place_job; call run() once.
 class TaskPlacement {
   public:
     TaskPlacement(cluster::ClusterState& cluster, forecast::DemandForecast& forecast,
@@ -26,16 +26,17 @@
     struct Candidate {
         double cost;
         machines::Machine* machine;
-        bool operator<(const Candidate& other) const;  // the cheapest comes first off a heap
+        bool operator<(const Candidate& other) const;  // inverted: the heap yields the cheapest
     };
-    /// @return false if a task of a zone-bound job is on a machine whose zone is unknown yet.
+    /// Counts the live tasks by zone if the job is limited to one zone or spread over zones.
+    /// @return false if one of them is on a machine whose zone is not known yet.
     [[nodiscard]] bool count_live_tasks();
     void collect_candidates();
     [[nodiscard]] Candidate candidate(machines::Machine& machine) const;
-    [[nodiscard]] machines::Machine& take_cheapest();
+    [[nodiscard]] machines::Machine& pop_cheapest();
     [[nodiscard]] bool withheld_from_job(const machines::Machine& machine) const;
     [[nodiscard]] bool may_use(const machines::Machine& machine);
-    /// @return false if the cluster state does not take the attempt.
+    /// @return false if the cluster state rejects the attempt.
     [[nodiscard]] bool start_next_task(machines::Machine& machine);
 
     cluster::ClusterState& cluster_;
@@ -45,7 +46,7 @@
     const Millis now_;
     const placement::Need need_;
     ZoneTaskCounts zone_tasks_;
-    Index zone_ = kNone;  // where the job's tasks are, as far as the job is bound to zones
+    Index zone_ = kNone;  // of the last live task, if the job is limited to one zone or spread
     WithheldCapacity withheld_;
     double wanted_replica_slots_ = 0;
     std::vector<Candidate> candidates_;  // a heap
--- a/src/scheduling/zone_task_counts.h
+++ b/src/scheduling/zone_task_counts.h
@@ -1,5 +1,5 @@
 /// @file
-/// The rule for jobs that are spread over zones: at most half of the tasks, rounded up, in one
+/// Limit for jobs that are spread over zones: at most half of the tasks, rounded up, run in one
 /// zone.
 #pragma once
 #include <algorithm>
@@ -11,11 +11,11 @@
 
 namespace nickelramp::scheduling {
 
-/// A job's tasks by zone, as far as a plan has counted them, and how many more may go into a zone.
-/// For a job that need not be spread, the counts limit nothing.
+/// Counts the tasks of a job by zone and returns how many more may be placed in a zone. For a job
+/// that is not spread over zones there is no limit.
 class ZoneTaskCounts {
   public:
-    /// `tasks_by_zone` has an entry for each zone that machines may be in.
+    /// @param tasks_by_zone one entry for each zone of the cluster
     ZoneTaskCounts(const jobs::Job& job, std::vector<std::uint32_t> tasks_by_zone)
         : spread_(job.spec.spread),
           max_per_zone_((job.spec.tasks + 1) / 2),
@@ -23,7 +23,7 @@
 
     [[nodiscard]] std::uint32_t tasks_in(Index zone) const { return tasks_by_zone_[zone]; }
 
-    /// How many of `wanted` further tasks may go into the zone.
+    /// Returns how many of `wanted` further tasks may be placed in the zone.
     [[nodiscard]] std::uint32_t allowed_in(Index zone, std::uint32_t wanted) const {
         if (!spread_) return wanted;
         return std::min(wanted, max_per_zone_ - std::min(max_per_zone_, tasks_by_zone_[zone]));
