--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -13,11 +13,12 @@
 using machines::Machine;
 
 namespace {
-// Surcharges on the seconds of work that stopping a task loses.
-constexpr double kGangMemberCostS = 40;      // for each member: all of them end with one
-constexpr double kPriorityCostS = 5;         // for each level of priority
-constexpr double kAtRiskCostS = 30;          // for a task of a job that may miss an objective
-constexpr std::size_t kSearchedPerTask = 2;  // for each task of a gang in each zone, at least
+// Surcharges on the cost of stopping a task, which is the lost work in seconds.
+constexpr double kGangMemberCostS = 40;  // per member of the gang: if one stops, all of them end
+constexpr double kPriorityCostS = 5;     // per priority level
+constexpr double kAtRiskCostS = 30;      // for a task of a job that may miss an objective
+// Minimum number of machines to examine per task of a gang and per zone.
+constexpr std::size_t kSearchedPerTask = 2;
 
 ZoneTaskCounts live_zone_tasks(const cluster::ClusterState& cluster, const Job& job) {
     if (job.spec.spread) return {job, cluster.live_tasks_by_zone(job)};
@@ -38,8 +39,8 @@
       boot_time_(typical_boot_time(cluster)),
       zone_tasks_(live_zone_tasks(cluster, job)) {}
 
-// A gang of 128 tasks once found no room among 300 machines of thirteen zones, however often it
-// looked: it needs to see as many machines as it may use in any one zone.
+// For a one-zone gang, the search must cover enough machines in a single zone. Searches of 300
+// machines in 13 zones never found room for a gang of 128 tasks.
 std::size_t PreemptionSearch::machines_to_search(const cluster::ClusterState& cluster,
                                                  const Job& job, std::uint32_t tasks) {
     const std::size_t zones = job.spec.one_zone ? cluster.zones().size() : 1;
@@ -93,7 +94,7 @@
     return left == 0;
 }
 
-// What is free, or will be when the tasks that have been told to stop have gone.
+// Returns the free resources of the machine once the tasks that are being stopped have ended.
 FreeResources PreemptionSearch::free_soon(const Machine& machine) const {
     FreeResources free = FreeResources::of(machine);
     for (const Attempt* attempt : machine.attempts) {
@@ -112,7 +113,8 @@
     return zone;
 }
 
-// Room where the job would not be placed afterwards would be waited for in vain.
+// Returns whether the job would be placed on the machine once it has room. Preempting tasks
+// elsewhere would not help the job.
 bool PreemptionSearch::may_make_room_on(const Machine& machine) const {
     if (!machine.accepts_tasks() || !rules_.allowed(job_, machine) ||
         now_ < machine.probation_until)
@@ -147,7 +149,8 @@
 
 std::vector<PreemptionVictim> PreemptionSearch::victims_on(const Machine& machine) const {
     std::vector<PreemptionVictim> victims;
-    // Ending a gang throws more away than a wait for the next machine costs.
+    // Stopping a gang loses more work than waiting for another machine to boot, so gangs are
+    // stopped only once the job has waited for that long.
     const bool gangs_too = job_.unplaced_since != 0 && now_ - job_.unplaced_since >= boot_time_;
     for (Attempt* attempt : machine.attempts) {
         if (!attempt->live() || attempt->stop_wanted || !rules_.may_preempt(*attempt, job_))
@@ -168,7 +171,7 @@
     return cost;
 }
 
-// The zone that offers room for all tasks at the least cost.
+// Returns the zone with room for all tasks at the lowest cost, or nullopt if no zone has room.
 std::optional<Index> PreemptionSearch::cheapest_zone() const {
     std::optional<Index> cheapest;
     double least_cost = 0;
@@ -188,7 +191,7 @@
     return cheapest;
 }
 
-// Half of a gang that is to be spread once kept a zone reserved for ever.
+// Without this check, a spread gang of which only half fits would keep a zone reserved for ever.
 bool PreemptionSearch::whole_gang_fits(std::uint32_t tasks) const {
     ZoneTaskCounts zone_tasks = zone_tasks_;
     for (const Candidate& candidate : candidates_) {
@@ -198,7 +201,7 @@
     return tasks == 0;
 }
 
-// Of so many slots in a zone, those that the job may have beside its tasks there; counts them.
+// Returns how many of `slots` further slots in the zone the job may use, and adds them to `counts`.
 std::uint32_t PreemptionSearch::assign_slots(ZoneTaskCounts& counts, Index zone,
                                              std::uint32_t slots) {
     const std::uint32_t allowed = counts.allowed_in(zone, slots);
@@ -211,7 +214,7 @@
     cluster_.reserve_machine(machine, job_, now_ + kReservationDuration);
     if (job_.reservations_since == 0) job_.reservations_since = now_;
     for (Attempt* attempt : candidate.victims) {
-        // Stopping one member of a gang may have ended other victims, which are no more.
+        // Stopping a member of a gang may already have removed other attempts of the list.
         if (std::find(machine.attempts.begin(), machine.attempts.end(), attempt) ==
             machine.attempts.end())
             continue;
--- a/src/scheduling/preemption_search.h
+++ b/src/scheduling/preemption_search.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the work that is to be stopped so that a more urgent job gets room, and stops it.
+/// Selects running tasks to preempt for a more urgent job, and stops them.
 #pragma once
 #include <optional>
 #include <vector>
@@ -13,38 +13,40 @@
 
 namespace nickelramp::scheduling {
 
-/// One search for machines on which stopping the least valuable work makes room for a job. A gang
-/// gets room for all its tasks or none is made. The machines are reserved for the job until the
-/// work on them has ended. Lives for one call of Scheduler::place_job: first enough_is_reserved(),
-/// then collect_candidates(), then preempt(), each once.
+/// One search for machines on which tasks can be preempted for a job at the lowest cost. For a
+/// gang, tasks are preempted only if all its tasks fit afterwards. The machines are reserved for
+/// the job while the preempted tasks end. Created for one call of Scheduler::place_job. Call
+/// enough_is_reserved(), collect_candidates() and preempt() in this order, each at most once.
 class PreemptionSearch {
   public:
-    /// `tasks`: how many tasks of the job want room.
+    /// @param tasks number of tasks of the job to make room for
     PreemptionSearch(cluster::ClusterState& cluster, forecast::DemandForecast& forecast,
                      const PlacementRules& rules, jobs::Job& job, std::uint32_t tasks, Millis now);
 
-    /// How many machines one search looks at, unless a gang needs more.
+    /// Number of machines that one search examines, unless a gang needs more.
     static constexpr std::size_t kMachinesPerSearch = 300;
-    /// How many machines a search for this job looks at: at most all, and enough for a large gang.
+    /// Returns how many machines a search for this job examines: enough for a large gang, but at
+    /// most all.
     [[nodiscard]] static std::size_t machines_to_search(const cluster::ClusterState& cluster,
                                                         const jobs::Job& job, std::uint32_t tasks);
 
-    /// Counts the room that earlier searches have reserved for the job.
-    /// @return true if that is enough: nothing more is to be stopped.
+    /// Counts the slots that earlier searches have reserved for the job.
+    /// @return true if they suffice, so that nothing more needs to be preempted.
     [[nodiscard]] bool enough_is_reserved();
-    /// Looks at `count` machines of ClusterState::machines(), from `first` on and round again.
+    /// Examines `count` machines of ClusterState::machines(), starting at index `first` and
+    /// wrapping around at the end.
     void collect_candidates(std::size_t first, std::size_t count);
-    /// Reserves the cheapest candidates and stops the work that is in the way.
-    /// @return true if room for all tasks is being made.
+    /// Reserves the cheapest candidates and stops their victims.
+    /// @return true if enough is now reserved for all tasks.
     [[nodiscard]] bool preempt();
 
   private:
-    /// A machine with the work that would be stopped there.
+    /// A machine, and the attempts that would be stopped there.
     struct Candidate {
         machines::Machine* machine = nullptr;
         std::vector<jobs::Attempt*> victims;
-        std::uint32_t slots = 0;   // tasks of the job that fit then
-        double cost_per_slot = 0;  // seconds, of the work lost and of the place
+        std::uint32_t slots = 0;   // tasks of the job that fit once the victims have ended
+        double cost_per_slot = 0;  // seconds; includes the lost work and the placement cost
     };
     [[nodiscard]] FreeResources free_soon(const machines::Machine& machine) const;
     [[nodiscard]] Index zone_of_live_tasks() const;
@@ -65,9 +67,9 @@
     const Millis now_;
     const placement::Need need_;
     const Millis boot_time_;
-    ZoneTaskCounts zone_tasks_;         // of the job, with those that room is being made for
-    std::uint32_t reserved_slots_ = 0;  // tasks that fit on what is reserved already
-    Index required_zone_ = kNone;       // of a job bound to one zone that has tasks running
+    ZoneTaskCounts zone_tasks_;  // of the job, including tasks that machines are reserved for
+    std::uint32_t reserved_slots_ = 0;  // tasks that fit on machines that are already reserved
+    Index required_zone_ = kNone;       // of a one-zone job that has live tasks
     double wanted_replica_slots_ = 0;
     std::vector<Candidate> candidates_;
 };
--- a/src/scheduling/quota_preemption.cpp
+++ b/src/scheduling/quota_preemption.cpp
@@ -20,7 +20,8 @@
 
 void QuotaPreemption::run() {
     const cluster::TeamUsage& usage = cluster_.team_usage(gang_.team);
-    // If not even the end of all arrays made room, the quota would only lie idle until then.
+    // If the gang would not fit even after all arrays of the team had ended, reserved quota would
+    // only be left unused.
     if (gang_.preemption_under_way || suffices({usage.array_gpus, usage.array_cpus}))
         cluster_.reserve_quota(gang_, now_);
     else
@@ -82,7 +83,7 @@
         const Job& job = cluster_.job_of(attempt);
         shortage_.gpus -= job.spec.gpus;
         shortage_.cpus -= job.spec.cpus;
-        spdlog::debug("preempting task within its team's quota: task={}/{} for_job={}", job.spec.id,
+        spdlog::debug("preempting task to free team quota: task={}/{} for_job={}", job.spec.id,
                       attempt.task, gang_.spec.id);
         cluster_.checkpoint_and_stop(attempt, now_);
     }
--- a/src/scheduling/quota_preemption.h
+++ b/src/scheduling/quota_preemption.h
@@ -1,5 +1,5 @@
 /// @file
-/// Makes room for a gang within its own team's quota.
+/// Preempts tasks of a gang's own team so that the gang fits the team's quota.
 #pragma once
 #include <vector>
 
@@ -8,10 +8,10 @@
 
 namespace nickelramp::scheduling {
 
-/// One step of making room for a gang that its team's quota leaves too little for: what comes free
-/// in the quota is reserved for the gang, and after a while arrays and services of the same team
-/// and of lower priority are stopped, as few as will do. Called by Scheduler for gangs that have
-/// waited long; use run() once.
+/// One step of making room for a gang that does not fit the unused quota of its team. Quota that
+/// becomes free is reserved for the gang. After kPreemptInQuotaAfter, tasks of arrays and services
+/// of the same team with lower priority are stopped, as few as necessary. Created by Scheduler for
+/// gangs that have waited long; call run() once.
 class QuotaPreemption {
   public:
     QuotaPreemption(cluster::ClusterState& cluster, jobs::Job& gang, Millis now);
@@ -23,10 +23,11 @@
         double gpus = 0, cpus = 0;
     };
     [[nodiscard]] Amount shortage_in_quota() const;
-    /// Would the gang fit if this became free?
+    /// Returns whether the gang fits the quota once this amount becomes free.
     [[nodiscard]] bool suffices(const Amount& freed) const;
-    /// Collects what may be stopped; what is being stopped already lowers the shortage.
-    /// @return what stopping all of it would free.
+    /// Collects the attempts that may be stopped. Attempts that are already being stopped reduce
+    /// the shortage instead.
+    /// @return the quota that stopping all collected attempts would free.
     Amount collect_victims();
     void collect_victims_of(const jobs::Job& victim, Amount& total);
     void stop_victims();
@@ -34,7 +35,7 @@
     cluster::ClusterState& cluster_;
     jobs::Job& gang_;
     const Millis now_;
-    Amount shortage_;  // what has to come free yet, beside what other gangs and services have
+    Amount shortage_;  // quota that must still become free before the gang fits
     std::vector<PreemptionVictim> victims_;
 };
 
--- a/src/scheduling/reservations.h
+++ b/src/scheduling/reservations.h
@@ -1,12 +1,12 @@
 /// @file
-/// Machines that are reserved for a job while other work on them is being stopped.
+/// Reservations of machines for a job while preempted tasks on them are being stopped.
 #pragma once
 #include "cluster/cluster_state.h"
 
 namespace nickelramp::scheduling {
 
-/// How long a machine stays reserved, in milliseconds, beyond the time that the work on it needs to
-/// save its state.
+/// Duration of a machine's reservation, in addition to the time that preempted tasks need to save
+/// their state.
 inline constexpr Millis kReservationDuration = 12'000;
 
 /// Releases every machine that is reserved for the job.
@@ -15,7 +15,7 @@
         cluster.release_reservation(*cluster.machine_by_index(job.reserved_machines.back()));
 }
 
-/// The time that a machine takes to boot, in milliseconds: that of the first type, as an estimate.
+/// Returns an estimate of the boot time of a machine: that of the first machine type.
 inline Millis typical_boot_time(const cluster::ClusterState& cluster) {
     return cluster.types().empty() ? 0 : seconds(cluster.types().front().boot_s);
 }
--- a/src/scheduling/stop_cost.h
+++ b/src/scheduling/stop_cost.h
@@ -1,23 +1,23 @@
 /// @file
-/// What it costs to stop a running task, so that the scheduler stops the cheapest.
+/// The cost of stopping a running task. The scheduler preempts the tasks with the lowest cost.
 #pragma once
 #include "jobs/job.h"
 
 namespace nickelramp::scheduling {
 
-/// An attempt that may be stopped to make room, with the cost of doing so.
+/// An attempt that may be preempted, with the cost of stopping it.
 struct PreemptionVictim {
-    double cost_s = 0;  ///< seconds of work that are lost, with surcharges for what matters more
+    double cost_s = 0;  ///< lost work in seconds, plus surcharges for more important work
     jobs::Attempt* attempt = nullptr;
 };
 
-/// Orders victims by cost, the cheapest first.
+/// Orders victims by cost, cheapest first.
 inline bool cheaper_victim(const PreemptionVictim& a, const PreemptionVictim& b) {
     return a.cost_s < b.cost_s;
 }
 
-/// Seconds of the attempt's work that are lost when it is stopped: what it takes to save and to
-/// start again if its job keeps checkpoints, otherwise all that it has run.
+/// Returns the seconds of work that are lost when the attempt is stopped: the time to save and
+/// restart if its job writes checkpoints, otherwise its whole run time so far.
 inline double stop_cost_s(const jobs::Job& job, const jobs::Attempt& attempt, Millis now) {
     constexpr double kRestartS = 2;
     if (job.spec.checkpoint_s > 0) return job.spec.save_s + kRestartS;
