--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -10,8 +10,10 @@
 using wire::Priority;
 
 namespace {
-constexpr double kMinShare = 0.25;     // of the slots, that others never take from an array
-constexpr double kSafetyMargin = 0.1;  // of the time that an objective gives, kept for faults
+// Lower bound on the share of its slots that an array is expected to get despite other jobs.
+constexpr double kMinShare = 0.25;
+// Share of the time allowed by an objective that is kept as a margin for faults.
+constexpr double kSafetyMargin = 0.1;
 constexpr double kMinCpusPerTask = 0.01;
 constexpr double kMinRunS = 1;
 
@@ -22,8 +24,8 @@
     return job.within_guaranteed_quota ? by_priority : by_priority + 4;
 }
 
-// Jobs that have time let the others go first, or newer and smaller ones would pass a large job
-// until it is late.
+// Within a rank, jobs at risk of missing an objective precede jobs that are on time. Otherwise
+// newer and smaller jobs would overtake a large job until it is late.
 bool goes_before(const Job* a, const Job* b) {
     const int rank_a = rank(*a), rank_b = rank(*b);
     if (rank_a != rank_b) return rank_a < rank_b;
@@ -46,8 +48,8 @@
     return queue;
 }
 
-// How many of its class's objectives a job can no longer meet, and when it must start for the next
-// one. A job that is late already lets those go first that are not.
+// Returns how many objectives of its class the job can no longer meet, and when it must start to
+// meet the next one. Jobs that have missed fewer objectives go first.
 jobs::Urgency JobQueue::urgency(const Job& job, Millis now) const {
     jobs::Urgency urgency;
     if (job.spec.shape != wire::Shape::array) return urgency;
@@ -70,7 +72,7 @@
     return job.spec.spot && term_.options().use_spot != 0;
 }
 
-// Has the cloud refused every kind of machine that is not kept for other work?
+// Returns whether the cloud has refused every kind of machine that is not kept for other work.
 bool JobQueue::all_kinds_backing_off(const Job& job, Millis now) const {
     for (Index type = 0; type < cluster_.types().size() && type < job.allowed_type.size(); ++type) {
         if (job.allowed_type[type] == 0 || !std::isfinite(job.relative_cost_of(type, false)))
@@ -92,15 +94,15 @@
     return true;
 }
 
-// The queue is served in order, so a job waits for the work before it.
+// The queue is served in order, so a job waits until the jobs before it are served.
 void JobQueue::forecast(const std::vector<Job*>& queue, Millis now) {
-    double queue_s = 0;  // until the queue so far is served
+    double queue_s = 0;  // time until the jobs up to the current one are served
     shortage_ = {};
     for (Job* job : queue) {
         if (job->spec.shape != wire::Shape::array) continue;
         job->any_machine_type_allowed = all_kinds_backing_off(*job, now);
         const ServiceEstimate estimate = estimate_service(*job, now);
-        // What runs now ends, on average, after half its time.
+        // Running tasks have, on average, half of their run time left.
         if (queue_s == 0) queue_s = estimate.run_s / 2;
         queue_s += job->placeable_tasks() * estimate.run_s / estimate.slots;
         const double missing = missing_slots(*job, estimate, queue_s, now);
@@ -114,7 +116,7 @@
     const std::vector<forecast::TypeDemand>& demand = demand_forecast_.demand();
     const double cpus = std::max(kMinCpusPerTask, job.spec.cpus);
     ServiceEstimate estimate;
-    // What was found lacking for the jobs before it counts as there.
+    // Capacity that was found missing for earlier jobs of the queue counts as available.
     double slots = shortage_.cpus / cpus;
     for (Index type = 0; type < demand.size() && type < cluster_.types().size(); ++type) {
         if (type >= job.allowed_type.size() || job.allowed_type[type] == 0) continue;
@@ -124,7 +126,7 @@
         slots += per_machine * (demand[type].array_capacity[0] +
                                 (job.spec.spot ? demand[type].array_capacity[1] : 0));
     }
-    // Work of higher priority goes on coming, and goes first.
+    // Work of higher priority that is expected to arrive is served first.
     const double load_above = demand_forecast_.expected_load_above(job, now);
     estimate.slots = std::max({1.0, slots - load_above / cpus, slots * kMinShare});
     estimate.run_s = std::max(kMinRunS, demand_forecast_.expected_run_s(job));
@@ -141,21 +143,21 @@
         const std::optional<double> due_s = due_in_s(job, objective, now);
         if (!due_s || *due_s > last_start_s) continue;
         job.slack = jobs::ScheduleSlack::at_risk;
-        if (*due_s < estimate.boot_s) continue;  // no new machine would come in time
-        // A new slot serves several tasks until they are due, one after the other.
+        if (*due_s < estimate.boot_s) continue;  // a new machine would boot too late
+        // A new slot can run several of the tasks, one after the other, before they are due.
         const double late_tasks = (last_start_s - *due_s) * estimate.slots / run_s;
         const double tasks_per_slot = 1 + (*due_s - estimate.boot_s) / run_s;
         missing =
             std::max(missing, std::min<double>(job.placeable_tasks(), late_tasks / tasks_per_slot));
-        // With those, the queue so far is served by then: the jobs behind must not count the same
-        // delay again.
+        // With the new slots, the jobs up to this one are served by then. Later jobs must not count
+        // the same delay again.
         queue_s = std::min(queue_s, *due_s + run_s);
     }
     return missing;
 }
 
-// In how many seconds the last task must start for the objective, with a margin; nothing if the
-// objective is not the job's or can't be met any more.
+// Returns in how many seconds the last task must start to meet the objective with a margin. Returns
+// nullopt if the objective does not apply to the job or can no longer be met.
 std::optional<double> JobQueue::due_in_s(const Job& job, const wire::Objective& objective,
                                          Millis now) const {
     const std::optional<Millis> due = latest_start(job, objective);
@@ -165,7 +167,8 @@
     return static_cast<double>(std::max<Millis>(0, *due - margin - now)) / 1000.0;
 }
 
-// By when its tasks must start for this objective, if it is one of its class.
+// Returns when the tasks of the job must start to meet the objective, or nullopt if the objective
+// does not apply to the job.
 std::optional<Millis> JobQueue::latest_start(const Job& job,
                                              const wire::Objective& objective) const {
     using Kind = wire::Objective::Kind;
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -11,11 +11,11 @@
 using placement::Need;
 
 namespace {
-constexpr std::size_t kMaxMachinesPerKind = 300;  // that one search for a job returns
+constexpr std::size_t kMaxMachinesPerKind = 300;  // returned by one call of fitting_machines()
 constexpr double kReservedBonusS = 30;            // for a machine that is reserved for the job
 constexpr double kUnlimitedTasks = 1e6;
 
-// How many tasks fit into what is left of a quota.
+// Returns how many tasks fit into the unused part of a quota.
 double tasks_in_quota(double left, double per_task) {
     return (left + placement::kFitTolerance) / per_task;
 }
@@ -30,11 +30,12 @@
 }
 
 std::uint32_t PlacementRules::tasks_within_limit(const Job& job) const {
-    if (term_.is_shard_holder()) return job.spec.tasks;  // the leader has set the quota aside
+    if (term_.is_shard_holder()) return job.spec.tasks;  // charged to the quota by the leader
     const wire::Team& quota = cluster_.team_rule(job.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(job.team);
-    // A gang needs its part of the quota at once: what comes free is reserved for one that waits
-    // long, or small tasks would pass it for ever.
+    // A gang needs quota for all its tasks at once. Quota that becomes free is reserved for a gang
+    // that has waited long. Otherwise small tasks would use it first and the gang would never
+    // start.
     const Job* gang = cluster_.quota_reserved_for(job.team);
     Need reserved;
     if (gang != nullptr && gang != &job && job.spec.priority != wire::Priority::production) {
@@ -82,8 +83,8 @@
     return placement::fits_within(machine.cpus_free, machine.gpus_free, machine.memory_free, need);
 }
 
-// What gangs leave free on a machine that is paid for anyway costs nothing, so arrays may use it;
-// replicas would keep the machine when the gang has ended.
+// Capacity that a gang leaves free on its machine costs nothing extra, so arrays may use it.
+// Replicas may not: they would keep the machine in use after the gang has ended.
 bool PlacementRules::should_avoid(const Job& job, const Machine& machine) const {
     if (job.is_service())
         return job.avoids_expensive_machines &&
@@ -111,8 +112,8 @@
         },
         [&](Index index) {
             Machine* machine = cluster_.machine_by_index(index);
-            // Machines that lack memory do not count: behind hundreds of them one with room once
-            // stayed unseen.
+            // Machines that lack memory do not count towards the limit. Otherwise hundreds of them
+            // can hide a machine that fits.
             if (!may_start_on(job, *machine, need, now)) return true;
             machines.push_back(machine);
             return ++found_of_kind < kMaxMachinesPerKind;
--- a/src/scheduling/placement_rules.h
+++ b/src/scheduling/placement_rules.h
@@ -1,5 +1,5 @@
 /// @file
-/// Where a job may be placed, and which capacity is kept for other work.
+/// Rules for where a job may be placed, and for which capacity is kept for other work.
 #pragma once
 #include <vector>
 
@@ -8,14 +8,13 @@
 
 namespace nickelramp::scheduling {
 
-/// A task that is told to stop has ended within this time, in milliseconds, beyond the time that it
-/// needs to save its state.
+/// Time in which a task ends after a stop request, in addition to the time that it needs to save
+/// its state.
 inline constexpr Millis kStopOverhead = 2'000;
 
-/// The rules that the scheduler, the autoscaler, the rebalancer and the shard allocator ask before
-/// they place a task anywhere. Reads the cluster state and the demand forecast, and changes
-/// neither; lives as long as a term, on the loop thread. Times are milliseconds of the steady
-/// clock.
+/// Placement rules shared by the scheduler, the autoscaler, the rebalancer and the shard allocator.
+/// Reads the cluster state and the demand forecast, and changes neither. Lives as long as a term
+/// and is used on the loop thread. Times are milliseconds of the steady clock.
 class PlacementRules {
   public:
     /// The references must outlive the rules.
@@ -23,36 +22,40 @@
                    const forecast::DemandForecast& forecast)
         : term_(term), cluster_(cluster), forecast_(forecast) {}
 
-    /// Do the machine's type, zone and kind suit the job? Says nothing about free capacity.
+    /// Returns whether the job may use the machine's type, zone and price model (spot or
+    /// on-demand). Does not consider free capacity.
     [[nodiscard]] bool allowed(const jobs::Job& job, const machines::Machine& machine) const;
-    /// How many more tasks of the job its team's quota has room for.
+    /// Returns how many more tasks of the job fit its team's quota.
     [[nodiscard]] std::uint32_t tasks_within_limit(const jobs::Job& job) const;
-    /// Has the team's quota room for that many more tasks?
+    /// Returns whether `tasks` more tasks of the job fit its team's quota.
     [[nodiscard]] bool within_limit(const jobs::Job& job, std::uint32_t tasks) const;
-    /// May a task of the job with this need start on the machine now?
+    /// Returns whether a task of the job with this need may start on the machine now.
     [[nodiscard]] bool may_start_on(const jobs::Job& job, const machines::Machine& machine,
                                     const placement::Need& need, Millis now) const;
-    /// The machines on which a task of the job may start now; of very many of a kind, some.
+    /// Returns machines on which a task of the job may start now. The number of machines of one
+    /// kind is limited.
     [[nodiscard]] std::vector<machines::Machine*> fitting_machines(const jobs::Job& job,
                                                                    const placement::Need& need,
                                                                    Millis now) const;
-    /// placement::placement_cost, in seconds (lower is better), less a bonus where the machine is
-    /// reserved for the job.
+    /// Returns placement::placement_cost in seconds (lower is better), minus a bonus if the machine
+    /// is reserved for the job.
     [[nodiscard]] double placement_cost(const jobs::Job& job,
                                         const machines::Machine& machine) const;
-    /// Does a slot on this kind cost so much more than the cheapest that an array takes it only
-    /// when it would be late otherwise?
+    /// Returns whether a slot on this kind of machine costs so much more than the cheapest slot
+    /// that an array uses it only if it would be late otherwise.
     [[nodiscard]] static bool is_expensive(const jobs::Job& job, Index type, bool spot);
-    /// Is the type left to work that fits no other? Arrays that fit elsewhere take it only when the
-    /// cloud has nothing else.
+    /// Returns whether the type is kept for work that fits no other type. Arrays that fit other
+    /// types use it only if the cloud offers nothing else.
     [[nodiscard]] bool reserved_for_other_work(const jobs::Job& job, Index type) const;
-    /// Is the machine better not used for the job, though it would fit?
+    /// Returns whether the job should not use the machine although it fits there.
     [[nodiscard]] bool should_avoid(const jobs::Job& job, const machines::Machine& machine) const;
-    /// Is capacity there kept for replicas that may come before another machine could boot?
-    /// `wanted_slots`: how many slots are to be kept in all (DemandForecast::wanted_replica_slots).
+    /// Returns whether free capacity of the machine is kept for replicas that may be submitted
+    /// before another machine could boot.
+    /// @param wanted_slots number of slots to keep on all machines
+    /// (DemandForecast::wanted_replica_slots)
     [[nodiscard]] bool reserved_for_replicas(const jobs::Job& job, const machines::Machine& machine,
                                              double wanted_slots) const;
-    /// May the attempt be stopped so that the job gets its place?
+    /// Returns whether the attempt may be stopped to free its resources for the job.
     [[nodiscard]] bool may_preempt(const jobs::Attempt& attempt, const jobs::Job& job) const;
 
   private:
