--- a/src/placement/free_capacity_index.h
+++ b/src/placement/free_capacity_index.h
@@ -1,6 +1,7 @@
 /// @file
 /// Index of the machines that accept tasks and have free resources, ordered by machine kind, whole
-/// gpus and cpus. A search costs what fits, not what there is.
+/// free gpus and free cpus. The cost of a search depends on the number of matching machines, not on
+/// the number of all machines.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -15,13 +16,13 @@
 
 namespace nickelramp::placement {
 
-/// Written by cluster::ClusterState after every change of a machine; read by the scheduler and
-/// whoever else looks for room.
+/// Updated by cluster::ClusterState after every change of a machine. Read by the scheduler and
+/// other modules that search for free capacity.
 class FreeCapacityIndex {
   public:
     using MachineKind = cloud::MachineKind;
 
-    /// The machine has this much free now.
+    /// Records the free resources of the machine.
     void update(Index machine, const MachineKind& kind, double cpus, double gpus) {
         if (machine >= entries_.size()) entries_.resize(machine + 1);
         Entry& entry = entries_[machine];
@@ -35,7 +36,7 @@
         levels[level].insert({cpus, machine});
     }
 
-    /// The machine has nothing free, or accepts no tasks.
+    /// Removes a machine that has nothing free or accepts no tasks.
     void remove(Index machine) {
         if (machine >= entries_.size() || !entries_[machine].present) return;
         Entry& entry = entries_[machine];
@@ -43,10 +44,10 @@
         entry.present = false;
     }
 
-    /// Calls visit(machine) for the machines of the kinds for which wanted(kind) holds that have
-    /// enough cpus and whole gpus; those with the least free first within a kind. When visit
-    /// returns false, the rest of that kind is skipped. Fractions of gpus and memory are for the
-    /// caller to compare. The index must not change meanwhile.
+    /// Calls visit(machine) for the machines that have enough cpus and whole gpus, for each kind
+    /// for which wanted(kind) returns true. Within a kind, machines with the least free resources
+    /// come first. If visit returns false, the rest of that kind is skipped. The caller must
+    /// compare memory and fractions of gpus. The index must not change during the call.
     template <typename Wanted, typename Visit>
     void for_each_candidate(const Need& need, Wanted wanted, Visit visit) const {
         for (const auto& [kind, levels] : levels_by_kind_) {
@@ -75,7 +76,8 @@
     static constexpr std::size_t kMaxLevels = 256;
 
     static std::size_t gpu_level(double gpus) {
-        // Twice the tolerance, so that no machine that fits by fits_within() is a level too low.
+        // Twice the tolerance, so that every machine that fits by fits_within() is at a high enough
+        // level.
         const double whole = std::max(0.0, std::floor(gpus + 2 * kFitTolerance));
         return std::min(kMaxLevels, static_cast<std::size_t>(whole));
     }
--- a/src/placement/placement_cost.cpp
+++ b/src/placement/placement_cost.cpp
@@ -6,20 +6,21 @@
 namespace nickelramp::placement {
 
 namespace {
-// Seconds worth waiting to save the price of one on-demand slot of the cheapest type. A replica
-// runs for long, other tasks are soon over.
+// Waiting time in seconds that is worth the price of one on-demand slot of the cheapest type. It is
+// higher for replicas, which run for a long time, than for other tasks.
 constexpr double kServiceCostWeightS = 20;
 constexpr double kTaskCostWeightS = 3;
 
-// An image whose fetch is under way is taken to need this share of a whole fetch.
+// Estimated remaining share of an image fetch that is under way.
 constexpr double kFetchRemaining = 0.6;
-// Each other fetch under way slows a fetch down by this share: they share the machine's rate.
+// Share by which each concurrent fetch slows down a fetch, because they share the machine's fetch
+// rate.
 constexpr double kFetchSlowdown = 0.5;
 
-constexpr double kEmptyMachineCostS = 4;     // of a machine that the task leaves empty
-constexpr double kSpotJobOnDemandCostS = 3;  // of an on-demand machine for a job that may use spot
-constexpr double kMinFetchRate = 0.01;       // GB/s, where the cloud states less or nothing
-constexpr std::uint32_t kMaxSlots = 1024;    // counted on one machine
+constexpr double kEmptyMachineCostS = 4;     // for a machine that is empty apart from the task
+constexpr double kSpotJobOnDemandCostS = 3;  // for on-demand machines if the job may use spot
+constexpr double kMinFetchRate = 0.01;       // GB/s, if the cloud states less or nothing
+constexpr std::uint32_t kMaxSlots = 1024;    // limit of slots counted on one machine
 
 std::uint64_t fetches_under_way(const machines::Machine& machine) {
     return static_cast<std::uint64_t>(
@@ -27,8 +28,9 @@
                       [](const machines::CachedImage& cached) { return !cached.present; }));
 }
 
-// Drops least recently used images, but not `keep`, until the rest fits or only one is left.
-void drop_oldest_images(machines::Machine& machine, double cache_gb, Index keep) {
+// Removes the least recently used images until the others fit in the cache, only one is left or the
+// next one is `keep`.
+void evict_least_recently_used_images(machines::Machine& machine, double cache_gb, Index keep) {
     double used_gb = 0;
     for (const machines::CachedImage& cached : machine.images) used_gb += cached.size_gb;
     while (used_gb > cache_gb && machine.images.size() > 1) {
@@ -80,16 +82,16 @@
 double placement_cost(const jobs::Job& job, const machines::Machine& machine,
                       const wire::MachineType& type) {
     double cost_s = image_wait_s(job, machine, type);
-    // Machines that are nearly full are filled first: empty ones stay free for gangs, and can be
-    // released.
+    // Nearly full machines are filled first, so that empty ones remain available for gangs or can
+    // be released.
     const double share_left = type.gpus > 0 && job.spec.gpus > 0
                                   ? (machine.gpus_free - job.spec.gpus) / type.gpus
                                   : (machine.cpus_free - job.spec.cpus) / std::max(1.0, type.cpus);
     cost_s += kEmptyMachineCostS * std::max(0.0, share_left);
-    // An expensive slot has resources that the task pays for and does not use.
+    // On an expensive slot the task pays for resources that it does not use.
     cost_s += (job.is_service() ? kServiceCostWeightS : kTaskCostWeightS) *
               std::max(0.0, job.relative_cost_of(machine.type, machine.spot) - 1.0);
-    // Jobs that may use spot machines leave on-demand ones to those that may not.
+    // Jobs that may use spot machines leave on-demand machines to jobs that may not.
     if (job.spec.spot && !machine.spot) cost_s += kSpotJobOnDemandCostS;
     return cost_s;
 }
@@ -111,7 +113,7 @@
         return;
     }
     machine.images.push_back({image, size_gb, now, present});
-    drop_oldest_images(machine, type.cache_gb, image);
+    evict_least_recently_used_images(machine, type.cache_gb, image);
 }
 
 }  // namespace nickelramp::placement
--- a/src/placement/placement_cost.h
+++ b/src/placement/placement_cost.h
@@ -1,6 +1,7 @@
 /// @file
-/// Which machine suits a task best, and what a slot costs. Pure functions of one job and one
-/// machine or machine type, and the bookkeeping of a machine's image cache on which they rest.
+/// Cost functions for choosing a machine for a task, and prices of slots. They are pure functions
+/// of one job and one machine or machine type. Also keeps the record of a machine's image cache
+/// that they depend on.
 #pragma once
 #include <cstdint>
 
@@ -15,43 +16,46 @@
 using jobs::kFitTolerance;
 using jobs::Need;
 
-/// What one task of the job needs.
+/// Returns the resources that one task of the job needs.
 [[nodiscard]] inline Need need_of(const jobs::Job& job) {
     return {job.spec.cpus, job.spec.gpus, job.spec.memory_gb};
 }
 
-/// A slot is expensive if its relative cost (jobs::RelativeCost) is higher.
+/// A slot is expensive if its relative cost (jobs::RelativeCost) exceeds this factor.
 inline constexpr double kExpensiveFactor = 1.5;
 
-/// How many tasks with this need fit into what is free, at most `limit`.
+/// Returns how many tasks with this need fit the given free resources, at most `limit`.
 [[nodiscard]] std::uint32_t tasks_that_fit(double cpus, double gpus, double memory_gb,
                                            const Need& need, std::uint32_t limit);
 
-/// How many tasks with this need an empty machine of the type takes.
+/// Returns how many tasks with this need fit an empty machine of the type.
 [[nodiscard]] std::uint32_t slots_on(const wire::MachineType& type, const Need& need);
 
-/// The hourly price of one slot on a full machine of the type, in the currency of the cloud's price
-/// list; infinite if no task fits.
+/// Returns the hourly price of one slot on a full machine of the type, in the currency of the
+/// cloud's price list. Infinite if no task fits.
 [[nodiscard]] double hourly_cost_per_task(const wire::MachineType& type, bool spot,
                                           const Need& need);
 
-/// Seconds that a machine of the type takes to fetch the job's image when it fetches nothing else.
+/// Returns the seconds that a machine of the type takes to fetch the job's image if it fetches
+/// nothing else.
 [[nodiscard]] double image_fetch_s(const jobs::Job& job, const wire::MachineType& type);
 
-/// An estimate of the seconds that a task waits for its image on the machine.
+/// Returns the estimated seconds that a task of the job waits for its image on the machine.
 [[nodiscard]] double image_wait_s(const jobs::Job& job, const machines::Machine& machine,
                                   const wire::MachineType& type);
 
-/// About the seconds lost by placing a task of the job here rather than on an ideal machine; the
-/// lowest is best.
+/// Returns the approximate seconds lost by placing a task of the job on this machine rather than on
+/// an ideal one. Lower is better.
 [[nodiscard]] double placement_cost(const jobs::Job& job, const machines::Machine& machine,
                                     const wire::MachineType& type);
 
-/// No task on the machine wants the image any more: a fetch under way is taken to be abandoned.
+/// Records that no task on the machine needs the image any more. An unfinished fetch of it is
+/// assumed to be abandoned.
 void abandon_image_fetch(machines::Machine& machine, Index image);
 
-/// A task on the machine uses the image, or is about to. `present`: it is known to be fetched. When
-/// the cache is full, the least recently used images are taken to be dropped.
+/// Records that a task on the machine uses the image or is about to. If the cache is full, the
+/// least recently used images are assumed to be evicted.
+/// @param present whether the image is known to be fetched
 void mark_image_used(machines::Machine& machine, const wire::MachineType& type, Index image,
                      double size_gb, bool present, Millis now);
 
