--- a/src/dependencies/dependency_automata.cpp
+++ b/src/dependencies/dependency_automata.cpp
@@ -58,7 +58,8 @@
     --live_automaton_count_;
 }
 
-// The one place where an event is decided and the automata that mention it move on.
+// Sets the status of an event and advances the automata that mention it. Every decision is made
+// here.
 void DependencyAutomata::set_status(Event event, EventStatus status,
                                     std::vector<Automaton>* violated) {
     events_[event].status = status;
@@ -71,7 +72,7 @@
     }
 }
 
-// Is the dependency broken if its event gets this status now?
+// Returns whether the dependency is violated if its event gets this status now.
 bool DependencyAutomata::breaks(const AutomatonState& state, Event event, EventStatus status) {
     const bool first_occurs = state.e1 == event && status == EventStatus::occurred;
     if (state.kind == Kind::order) return first_occurs && state.status2 == EventStatus::occurred;
@@ -80,7 +81,7 @@
            (first_occurs && state.status2 == EventStatus::excluded);
 }
 
-// Does what has happened already rule the event out?
+// Returns whether earlier events rule out that the event occurs.
 bool DependencyAutomata::can_never_occur(Event event) const {
     const std::vector<Automaton>& automata = events_[event].mentioned_by;
     return std::any_of(automata.begin(), automata.end(), [&](Automaton automaton) {
@@ -89,7 +90,8 @@
     });
 }
 
-// Accepted events have been submitted or are forcible; rejected ones have been submitted.
+// Returns whether the step can be executed now. An event can be accepted if it was submitted or is
+// forcible, and rejected if it was submitted and is rejectable.
 bool DependencyAutomata::executable(const Step& step, Event submitted) const {
     const EventState& event = events_[step.event];
     if (event.status != EventStatus::open) return false;
@@ -98,7 +100,7 @@
     return arrived && event.attributes.rejectable && step.event != submitted;
 }
 
-// Every path of an order automaton from its state that decides one or two events.
+// Returns all paths of an order automaton, from its current state, that decide one or two events.
 std::vector<DependencyAutomata::Path> DependencyAutomata::order_paths(Automaton automaton) const {
     const AutomatonState& state = automaton_states_[automaton];
     const Step accept1{state.e1, Action::accept}, accept2{state.e2, Action::accept};
@@ -112,7 +114,7 @@
     };
     if (open1 && open2) add({accept1, accept2}, true);
     if (open1 && state.status2 != EventStatus::occurred) add({accept1}, true);
-    // Once e2 has happened, e1 must stay away: only a rejectable one, or one known to be off.
+    // e1 must not occur after e2. So e2 is accepted only if e1 is already decided or rejectable.
     if (open2 && (!open1 || event1.attributes.rejectable)) {
         if (open1 && event1.arrival_order != 0)
             add({accept2, reject1}, true);
@@ -126,7 +128,8 @@
     return paths;
 }
 
-// The same of an existence automaton.
+// Returns all paths of an existence automaton, from its current state, that decide one or two
+// events.
 std::vector<DependencyAutomata::Path> DependencyAutomata::existence_paths(
     Automaton automaton, const AutomatonState& state) {
     const Step accept1{state.e1, Action::accept}, accept2{state.e2, Action::accept};
@@ -160,8 +163,9 @@
     return penalty;
 }
 
-// The paths that can be executed, the best first. The paper leaves the order open; here nothing is
-// forced or rejected that need not be, and then what decides most comes first.
+// Returns the paths that can be executed, best first. The paper does not define this order. Here,
+// paths that force the fewest events come first, then those that reject the fewest, then those that
+// decide the most.
 std::vector<DependencyAutomata::Path> DependencyAutomata::candidates(Automaton automaton,
                                                                      Event submitted) const {
     const AutomatonState& state = automaton_states_[automaton];
@@ -191,7 +195,7 @@
     return nullptr;
 }
 
-// Does the path decide all that the shorter one decides, the same way, and more?
+// Returns whether the path decides all events of the shorter path in the same way, and more events.
 bool DependencyAutomata::extends(const Path& path, const Path& shorter) {
     if (path.steps.size() <= shorter.steps.size()) return false;
     return std::all_of(shorter.steps.begin(), shorter.steps.end(), [&](const Step& step) {
@@ -208,22 +212,25 @@
     return state.e1 != submitted && state.e2 != submitted;
 }
 
-// a-closed and r-closed as far as this path goes: it decides what the set decides of its events,
-// the same way.
+// Returns whether the pathset with this path is a-closed and r-closed with respect to the path: the
+// path decides each event of its automaton that the set decides, in the same way.
 bool DependencyAutomata::is_compatible(const Pathset& set, const Path& path) const {
     const AutomatonState& state = automaton_states_[path.automaton];
     for (const Event event : {state.e1, state.e2}) {
-        const Step* theirs = decided(set, event);
-        const Step* ours = step_of(path, event);
-        if (theirs != nullptr && (ours == nullptr || ours->action != theirs->action)) return false;
+        const Step* step_in_set = decided(set, event);
+        const Step* step_in_path = step_of(path, event);
+        if (step_in_set != nullptr &&
+            (step_in_path == nullptr || step_in_path->action != step_in_set->action))
+            return false;
     }
     return true;
 }
 
-// The accepts of all paths together leave an order: no event comes, over others, before itself.
+// Returns whether the orders required by all paths are consistent with the path: no event precedes
+// itself, directly or through other events.
 bool DependencyAutomata::order_consistent(const Pathset& set, const Path& path) {
     if (!path.ordered || path.steps.size() < 2) return true;
-    std::vector<Event> later{path.steps[1].event};  // everything that comes after the first step
+    std::vector<Event> later{path.steps[1].event};  // events that must occur after the first step
     for (std::size_t next = 0; next < later.size(); ++next) {
         if (later[next] == path.steps[0].event) return false;
         for (const Path& other : set) {
@@ -237,8 +244,8 @@
     return true;
 }
 
-// An automaton that mentions the event and has no path in the set that decides it; kNone: there is
-// none.
+// Returns an automaton that mentions the event but has no path in the set that decides it, or
+// kNone.
 Automaton DependencyAutomata::uncovered_automaton(const Pathset& set, Event event) const {
     for (const Automaton automaton : events_[event].mentioned_by) {
         const bool covered = std::any_of(set.begin(), set.end(), [&](const Path& path) {
@@ -249,7 +256,7 @@
     return kNone;
 }
 
-// The automaton whose path the set lacks next; kNone: the set is closed.
+// Returns the next automaton for which the set needs a path, or kNone if the set is closed.
 Automaton DependencyAutomata::open_automaton(const Pathset& set, Event submitted) const {
     Automaton open = uncovered_automaton(set, submitted);
     for (const Path& path : set) {
@@ -261,11 +268,11 @@
     return open;
 }
 
-// The paper's search (its figure 7): close the set off, automaton by automaton.
+// The search of the paper (figure 7): adds paths until the set is closed, one automaton at a time.
 bool DependencyAutomata::search(Pathset& set, Event submitted) const {
     const Automaton open = open_automaton(set, submitted);
     if (open == kNone) return true;
-    // An automaton that already gave a path may have to give a longer one.
+    // The path of an automaton that is already in the set may have to be replaced by a longer one.
     const auto earlier = std::find_if(set.begin(), set.end(),
                                       [&](const Path& path) { return path.automaton == open; });
     Pathset rest = set;
@@ -294,8 +301,8 @@
                 events.push_back(step.event);
         }
     }
-    // Where the paths leave the order open, events happen as they arrived; forced ones (0, which
-    // wraps) last.
+    // Where the paths do not define the order, events occur in the order of arrival. Forced events,
+    // whose arrival order 0 wraps around to the maximum, come last.
     std::sort(accepts.begin(), accepts.end(), [&](Event a, Event b) {
         return events_[a].arrival_order - 1 < events_[b].arrival_order - 1;
     });
@@ -312,7 +319,7 @@
     }
 }
 
-// The first of the events that follows none of the others.
+// Returns the first of the events that does not have to follow another of them.
 Event DependencyAutomata::first_to_occur(const Pathset& set, const std::vector<Event>& events) {
     auto follows = [&set](Event later, Event earlier) {
         return std::any_of(set.begin(), set.end(), [&](const Path& path) {
@@ -340,16 +347,16 @@
     });
 }
 
-// What can never be accepted any more is rejected, so that its sender learns of it.
+// Rejects a pending event that can never be accepted any more, so that its submitter is informed.
 bool DependencyAutomata::reject_one_of(const std::vector<Event>& waiting, SubmitOutcome& out) {
-    const auto hopeless = std::find_if(waiting.begin(), waiting.end(), [&](Event event) {
+    const auto impossible = std::find_if(waiting.begin(), waiting.end(), [&](Event event) {
         const EventState& state = events_[event];
         return state.status == EventStatus::open && state.attributes.rejectable &&
                can_never_occur(event);
     });
-    if (hopeless == waiting.end()) return false;
-    set_status(*hopeless, EventStatus::excluded, &out.violated);
-    out.rejected.push_back(*hopeless);
+    if (impossible == waiting.end()) return false;
+    set_status(*impossible, EventStatus::excluded, &out.violated);
+    out.rejected.push_back(*impossible);
     return true;
 }
 
--- a/src/dependencies/dependency_automata.h
+++ b/src/dependencies/dependency_automata.h
@@ -1,12 +1,13 @@
 /// @file
-/// Dependencies between events, after "Specifying and Enforcing Intertask Dependencies" (sections 3
-/// to 5): every dependency is a small automaton; an event happens when a viable pathset accepts it.
+/// Enforces dependencies between events as described in "Specifying and Enforcing Intertask
+/// Dependencies" (sections 3 to 5). Each dependency is a small automaton. An event occurs when a
+/// viable pathset accepts it.
 ///
-///     order      e1 < e2   if both occur, e1 comes first
+///     order      e1 < e2   if both occur, e1 occurs first
 ///     existence  e1 -> e2  if e1 occurs, e2 occurs too
 ///
-/// Events and automata come and go at run time; an event occurs at most once, so an attempt's
-/// number is part of what its events stand for.
+/// Events and automata are added and removed at run time. An event occurs at most once, so each
+/// attempt of a task has events of its own.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -19,31 +20,31 @@
 using Event = Index;
 using Automaton = Index;
 
-/// What may be done about an event. One with no attribute is a fact: it has happened when it is
-/// submitted.
+/// What DependencyAutomata may do with an event. An event without attributes is a fact: it has
+/// already happened when it is submitted.
 struct Attributes {
-    bool forcible = false;    ///< may be made to happen
-    bool rejectable = false;  ///< may be prevented
-    bool delayable = false;   ///< may be put off
+    bool forcible = false;    ///< may be made to occur without being submitted
+    bool rejectable = false;  ///< may be rejected
+    bool delayable = false;   ///< may be delayed after it was submitted
 };
 
-/// What has become of an event.
+/// State of an event. An excluded event was rejected or terminated and cannot occur any more.
 enum class EventStatus : std::uint8_t { open, occurred, excluded };
 
 enum class SubmitResult : std::uint8_t { accepted, pending, rejected };
 
-/// What one submission led to, in the order of execution. Events that were pending may be among
-/// them.
+/// Result of one submission. Lists events in the order of execution, including events that were
+/// pending before.
 struct SubmitOutcome {
-    SubmitResult result = SubmitResult::pending;  ///< of the event that was submitted
+    SubmitResult result = SubmitResult::pending;  ///< of the submitted event
     std::vector<Event> accepted;
     std::vector<Event> rejected;
-    std::vector<Automaton> violated;  ///< dependencies that facts broke
+    std::vector<Automaton> violated;  ///< dependencies that were violated by facts
 };
 
-/// The dependencies among one job's events. Each job has its own; the cluster state and the job
-/// lifecycle submit events on the loop thread. It does no I/O and knows no time. Indices of events
-/// and automata are valid from their creation to their removal, and are used again afterwards.
+/// The dependencies among one job's events. Each job has its own instance. The cluster state and
+/// the job lifecycle submit events on the loop thread. The class does no I/O and does not use time.
+/// Indices of events and automata are valid from creation to removal and are reused afterwards.
 class DependencyAutomata {
   public:
     enum class Kind : std::uint8_t { order, existence };
@@ -52,16 +53,18 @@
     /// Removes the event and every automaton that mentions it.
     void remove_event(Event event);
 
-    /// Adds a dependency; its automaton starts from what has happened already.
-    /// @param violated if given, set to whether the dependency is broken already. The order of past
-    /// events is unknown, and taken as right.
+    /// Adds a dependency. The initial state of its automaton reflects events that have already been
+    /// decided.
+    /// @param violated if given, set to whether the dependency is already violated. The order of
+    /// past events is unknown and assumed to be correct.
     Automaton add(Kind kind, Event e1, Event e2, bool* violated = nullptr);
     void remove(Automaton automaton);
 
-    /// The event was submitted: it occurs, waits as pending, or is rejected. Pending events are
+    /// Submits the event. It is accepted, becomes pending, or is rejected. Pending events are
     /// retried in the order of their arrival.
     SubmitOutcome submit(Event event);
-    /// The event can no longer be submitted (the paper's termination event).
+    /// Records that the event can no longer be submitted (the paper's termination event), and
+    /// retries pending events.
     SubmitOutcome terminate(Event event);
 
     [[nodiscard]] EventStatus status(Event event) const { return events_[event].status; }
@@ -73,14 +76,14 @@
         Event event;
         Action action;
     };
-    /// One way through an automaton from its current state.
+    /// One path through an automaton from its current state.
     struct Path {
         Automaton automaton;
         std::vector<Step> steps;  // one or two
-        bool ordered;             // they happen as listed; otherwise they interleave freely
+        bool ordered;             // the steps occur as listed; otherwise in any order
     };
     using Pathset = std::vector<Path>;
-    /// What speaks against a path, the worst first; lower is better.
+    /// Sort key of a path, by decreasing importance; lower is better.
     struct PathPenalty {
         int forced = 0, rejected = 0, undecided = 0;
         auto operator<=>(const PathPenalty&) const = default;
@@ -89,11 +92,11 @@
     struct EventState {
         Attributes attributes;
         EventStatus status = EventStatus::open;
-        std::uint64_t arrival_order = 0;  // when submitted; 0: not yet
+        std::uint64_t arrival_order = 0;  // order of submission; 0: not submitted yet
         std::vector<Automaton> mentioned_by;
         bool live = false;
     };
-    /// The local state of an automaton: what has become of its two events.
+    /// The local state of an automaton: its two events and their states.
     struct AutomatonState {
         Kind kind = Kind::order;
         Event e1 = kNone, e2 = kNone;
--- a/tests/dependency_automata_test.cpp
+++ b/tests/dependency_automata_test.cpp
@@ -1,4 +1,5 @@
-// The pathset search is compared with a slow model that tries every possible sequence of events.
+// Tests of the dependency automata. The pathset search is compared with a slow model that tries
+// every possible sequence of events.
 #include "dependencies/dependency_automata.h"
 
 #include <gtest/gtest.h>
@@ -22,25 +23,27 @@
     std::size_t e1, e2;
 };
 
-// Keeps what has occurred as one sequence and judges it by the definitions of the dependencies.
+// Reference model. Stores the events that have occurred as one sequence and checks it against the
+// definitions of the dependencies.
 struct Model {
     std::vector<Attributes> attributes;
-    std::vector<bool> submitted, never;
+    std::vector<bool> submitted, ruled_out;
     std::vector<std::size_t> history;
     std::vector<Dependency> dependencies;
 
     bool occurred(std::size_t e, const std::vector<std::size_t>& h) const {
         return std::find(h.begin(), h.end(), e) != h.end();
     }
-    // Does the sequence, with the excluded events, satisfy every dependency, now and whatever facts
-    // may come?
+    // Returns whether the sequence `h`, with the excluded events `out`, satisfies every dependency
+    // now, and still can whichever facts are submitted later.
     bool satisfies_all(const std::vector<std::size_t>& h, const std::vector<bool>& out) const {
         for (const Dependency& d : dependencies) {
             bool has1 = occurred(d.e1, h), has2 = occurred(d.e2, h);
             if (d.kind == DependencyAutomata::Kind::existence) {
-                // A fact may have come before what it asks for; that must still be able to come.
-                bool asked = occurred(d.e1, history);
-                if (has1 && !has2 && (!asked || (out[d.e2] && !never[d.e2]))) return false;
+                // A fact may have occurred before the event that it requires. That event must still
+                // be able to occur.
+                bool had1 = occurred(d.e1, history);
+                if (has1 && !has2 && (!had1 || (out[d.e2] && !ruled_out[d.e2]))) return false;
                 continue;
             }
             if (has1 && has2 &&
@@ -48,7 +51,7 @@
                 return false;
             }
             if (has2 && !occurred(d.e2, history) && !has1 && !out[d.e1]) {
-                // e1 must not occur any more: it must be rejectable, and rejected if it has been
+                // e1 must not occur after e2, so it must be rejectable, and rejected if it has been
                 // submitted.
                 if (!attributes[d.e1].rejectable || submitted[d.e1]) return false;
             }
@@ -65,24 +68,24 @@
         for (std::size_t i = 0; i < attributes.size(); ++i) {
             out += std::to_string(i) + ":" + (attributes[i].forcible ? "F" : "") +
                    (attributes[i].rejectable ? "R" : "") + (attributes[i].delayable ? "D" : "") +
-                   (submitted[i] ? " submitted" : "") + (never[i] ? " never" : "") + "; ";
+                   (submitted[i] ? " submitted" : "") + (ruled_out[i] ? " ruled out" : "") + "; ";
         }
         out += "happened:";
         for (std::size_t e : history) out.append(" ").append(std::to_string(e));
         return out;
     }
-    // Is there any way to accept the event now?
+    // Returns whether the event can be accepted now in any way.
     bool possible(std::size_t e) const {
         std::vector<std::size_t> open;
         for (std::size_t i = 0; i < attributes.size(); ++i) {
-            if (i != e && !never[i] && !occurred(i, history)) open.push_back(i);
+            if (i != e && !ruled_out[i] && !occurred(i, history)) open.push_back(i);
         }
-        // Each open event is left alone, accepted or rejected.
+        // Each open event is left open, accepted or rejected.
         std::size_t ways = 1;
         for (std::size_t i = 0; i < open.size(); ++i) ways *= 3;
         for (std::size_t w = 0; w < ways; ++w) {
             std::vector<std::size_t> accept{e};
-            std::vector<bool> out = never;
+            std::vector<bool> out = ruled_out;
             bool allowed = true;
             std::size_t rest = w;
             for (std::size_t i : open) {
@@ -123,7 +126,7 @@
             events.push_back(automata.add_event(a));
         }
         model.submitted.assign(n, false);
-        model.never.assign(n, false);
+        model.ruled_out.assign(n, false);
         std::size_t count = 1 + random() % (n + 1);
         for (std::size_t i = 0; i < count; ++i) {
             Dependency d{random() % 2 == 0 ? DependencyAutomata::Kind::order
@@ -136,21 +139,22 @@
         bool violated = false;
         for (int step = 0; step < 8 && !violated; ++step) {
             std::size_t e = random() % n;
-            if (model.submitted[e] || model.never[e] || model.occurred(e, model.history)) continue;
+            if (model.submitted[e] || model.ruled_out[e] || model.occurred(e, model.history))
+                continue;
             SubmitOutcome out;
             if (random() % 6 == 0) {
                 out = automata.terminate(events[e]);
-                model.never[e] = true;
+                model.ruled_out[e] = true;
             } else {
                 model.submitted[e] = true;
                 bool possible = model.possible(e);
                 out = automata.submit(events[e]);
                 bool fact = !model.attributes[e].delayable && !model.attributes[e].rejectable;
-                bool took = !out.accepted.empty() &&
-                            std::find(out.accepted.begin(), out.accepted.end(), events[e]) !=
-                                out.accepted.end();
+                bool was_accepted =
+                    !out.accepted.empty() && std::find(out.accepted.begin(), out.accepted.end(),
+                                                       events[e]) != out.accepted.end();
                 if (possible) {
-                    ASSERT_TRUE(took) << "round " << round << " step " << step;
+                    ASSERT_TRUE(was_accepted) << "round " << round << " step " << step;
                 } else if (!fact) {
                     ASSERT_NE(out.result, SubmitResult::accepted)
                         << e << " in " << model.describe();
@@ -173,9 +177,9 @@
             for (Event x : out.accepted) model.history.push_back(index(x));
             for (Event x : out.rejected) {
                 EXPECT_TRUE(model.attributes[index(x)].rejectable);
-                model.never[index(x)] = true;
+                model.ruled_out[index(x)] = true;
             }
-            // A fact that could not be fitted in may break dependencies; then it says which.
+            // A fact that cannot be accepted may violate dependencies, which the outcome lists.
             if (violated) continue;
             for (const Dependency& d : model.dependencies) {
                 bool has1 = model.occurred(d.e1, model.history),
@@ -187,7 +191,7 @@
                     EXPECT_LT(at(d.e1), at(d.e2)) << "round " << round;
                 }
                 if (d.kind == DependencyAutomata::Kind::existence && has1 && !has2) {
-                    // Only a fact that happened in spite of the automata.
+                    // Only a fact can occur although its automata do not accept it.
                     EXPECT_TRUE(!model.attributes[d.e1].delayable &&
                                 !model.attributes[d.e1].rejectable)
                         << "round " << round;
@@ -201,7 +205,8 @@
     EXPECT_GT(facts, 50);
 }
 
-// The paper's example (5.5): with e1 < e2 and e1 -> e2, e1 waits until e2 comes; then both happen.
+// The example of the paper (5.5): with e1 < e2 and e1 -> e2, e1 is pending until e2 is submitted.
+// Then both occur.
 TEST(DependencyAutomata, ThePapersExample) {
     DependencyAutomata automata;
     Attributes a{.rejectable = true, .delayable = true};
@@ -216,7 +221,8 @@
     EXPECT_EQ(out.accepted[1], e2);
 }
 
-// B waits for A: start(B) -> done(A), done(A) < start(B); failed(A) forces cancelled(B).
+// Job B depends on job A: start(B) -> done(A) and done(A) < start(B). failed(A) forces
+// cancelled(B).
 TEST(DependencyAutomata, APipelineOfTwoJobs) {
     DependencyAutomata automata;
     Event done_a = automata.add_event({}), failed_a = automata.add_event({});
@@ -236,19 +242,19 @@
 TEST(DependencyAutomata, PendingEventsAreRetriedInTheOrderOfArrival) {
     DependencyAutomata automata;
     Attributes a{.rejectable = true, .delayable = true};
-    Event gone = automata.add_event({});
+    Event prerequisite = automata.add_event({});
     Event first = automata.add_event(a), second = automata.add_event(a);
     for (Event event : {second, first}) {
-        automata.add(DependencyAutomata::Kind::existence, event, gone);
-        automata.add(DependencyAutomata::Kind::order, gone, event);
+        automata.add(DependencyAutomata::Kind::existence, event, prerequisite);
+        automata.add(DependencyAutomata::Kind::order, prerequisite, event);
     }
     automata.submit(first);
     automata.submit(second);
-    SubmitOutcome out = automata.submit(gone);
-    EXPECT_EQ(out.accepted, (std::vector<Event>{gone, first, second}));
+    SubmitOutcome out = automata.submit(prerequisite);
+    EXPECT_EQ(out.accepted, (std::vector<Event>{prerequisite, first, second}));
 }
 
-// Guards against forcing events needlessly: a job was once cancelled by its own first start.
+// Guards against forcing events needlessly, by which the first start of a job cancelled the job.
 TEST(DependencyAutomata, AStartForcesNothing) {
     DependencyAutomata automata;
     Event start = automata.add_event({.rejectable = true, .delayable = true});
@@ -271,7 +277,7 @@
     Event c = automata.add_event({});
     automata.terminate(c);
     automata.add(DependencyAutomata::Kind::existence, a, c, &violated);
-    EXPECT_TRUE(violated);  // added too late to be enforced
+    EXPECT_TRUE(violated);  // the dependency was added too late to be enforced
 }
 
 }  // namespace
