--- a/tests/machine_types_test.cpp
+++ b/tests/machine_types_test.cpp
@@ -1,5 +1,5 @@
-// Machines of several types and prices: where tasks are placed, which replicas move, and which
-// capacity is kept for other work.
+// Clusters with machines of several types and prices: where tasks are placed, which replicas are
+// moved, and which capacity is kept for other work.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -40,7 +40,7 @@
     EXPECT_DOUBLE_EQ(
         placement::hourly_cost_per_task({"s", 16, 0, 32, 50, 1, 0.88, 0.32, 25, {"a"}}, true, need),
         0.08);
-    // Memory for two only.
+    // The memory limits the machine to two tasks.
     EXPECT_DOUBLE_EQ(placement::hourly_cost_per_task({"m", 16, 0, 13, 50, 1, 0.88, 0.32, 25, {"a"}},
                                                      false, need),
                      0.44);
@@ -48,8 +48,9 @@
         {"n", 2, 0, 32, 50, 1, 0.88, 0.32, 25, {"a"}}, false, need)));
 }
 
-// Replicas without GPUs were once placed beside gangs, where a machine seemed fullest, and kept the
-// GPU machine when the gang had ended: half of a day's cost.
+// Guards against replicas without GPUs that are placed beside gangs because those machines are the
+// fullest. They kept the GPU machines in use after the gangs had ended, which caused half of the
+// cost of a day.
 TEST(MachineTypes, ReplicasWithoutGpusDoNotHoldGpuMachines) {
     test::ClusterSimulation simulation(400, {}, 0,
                                        {type("plain", 8, 0, 0.5), type("gpu", 16, 4, 10)});
@@ -72,8 +73,8 @@
     EXPECT_EQ(simulation.final_state("job-1"), "done");
 }
 
-// Two machines of different zones were once emptied in one pass, and the same free slot was counted
-// for both: the second one's replica had none and waited for a boot.
+// Guards against counting one free slot twice when machines of two zones are drained in one pass.
+// The replica of the second machine then had no slot and waited until a new machine had booted.
 TEST(MachineTypes, MachinesAreNotDrainedOntoTheSameSlots) {
     test::ClusterSimulation simulation(402, {}, 0, {type("g4", 16, 4, 10)});
     simulation.leader()->set_options(without_margins());
@@ -88,19 +89,19 @@
         }
     }
     ASSERT_EQ(jobs_on.size(), 3u);
-    // The machine that stays is in the zone that has two.
+    // The machine that is kept is one of the two in the same zone.
     const auto machines = machines_of(simulation);
     std::map<Index, int> in_zone;
     for (const auto& [index, ids] : jobs_on) ++in_zone[machines.at(index)->zone];
     ASSERT_EQ(in_zone.size(), 2u);
-    Index stays = kNone;
+    Index kept_machine = kNone;
     for (const auto& [index, ids] : jobs_on) {
-        if (in_zone[machines.at(index)->zone] == 2) stays = index;
+        if (in_zone[machines.at(index)->zone] == 2) kept_machine = index;
     }
     std::set<std::string> left;
     for (const auto& [index, ids] : jobs_on) {
         ASSERT_EQ(ids.size(), 4u);
-        std::size_t keep = index == stays ? 3 : 1;
+        std::size_t keep = index == kept_machine ? 3 : 1;
         for (const std::string& id : ids) {
             if (keep > 0) {
                 --keep;
@@ -111,19 +112,19 @@
         }
     }
     ASSERT_EQ(left.size(), 5u);
-    Millis down_since = 0;
+    Millis incomplete_since = 0;
     for (Millis end = simulation.now() + 25'000; simulation.now() < end && !HasFailure();) {
         simulation.run_until(simulation.now() + 250);
         std::size_t running = 0;
         for (const std::string& id : left) running += simulation.leader()->progress(id).running;
-        if (running == left.size()) down_since = 0;
-        if (running < left.size() && down_since == 0) down_since = simulation.now();
-        ASSERT_TRUE(down_since == 0 || simulation.now() - down_since < 6'000)
+        if (running == left.size()) incomplete_since = 0;
+        if (running < left.size() && incomplete_since == 0) incomplete_since = simulation.now();
+        ASSERT_TRUE(incomplete_since == 0 || simulation.now() - incomplete_since < 6'000)
             << running << " of " << left.size() << " replicas run at " << simulation.now();
     }
 }
 
-// Tasks were once preempted for urgent arrays on machines where such arrays are not placed.
+// Guards against preempting tasks for an urgent array on machines where the array is not placed.
 TEST(MachineTypes, PreemptionHappensOnlyWhereTheJobMayRun) {
     test::ClusterSimulation simulation(610, {}, 0,
                                        {type("plain", 16, 0, 1), type("gpu", 16, 4, 10)});
@@ -141,27 +142,29 @@
     urgent["urgency"] = "urgent";
     urgent["jobclass"] = "quick";
     simulation.submit(urgent);
-    simulation.run_until(44'000);  // no machine boots within that
+    simulation.run_until(44'000);  // before a new machine can boot
     EXPECT_EQ(simulation.stopped_tasks(), stops);
     simulation.run_until(80'000);
     EXPECT_EQ(simulation.final_state("job-100"), "done");
 }
 
-// The cloud takes few requests: what production needs is asked for first, whichever job came first.
+// The cloud accepts few requests. Machines for production jobs are requested first, whichever job
+// was submitted first.
 TEST(MachineTypes, MachinesAreProvisionedForTheMostUrgentWorkFirst) {
     test::ClusterSimulation simulation(611, {}, 0,
                                        {type("plain", 16, 0, 1), type("gpu", 16, 4, 10)});
     simulation.submit(test::job("job-1", "sweep", 40, 0));
     auto replicas = test::job("job-2", "standing", 2, 1);
     simulation.submit(replicas);
-    simulation.fail_over();  // both jobs are known when the first scale-out plan is made
+    simulation.fail_over();  // so that the first scale-out plan includes both jobs
     simulation.run_until(1'500);
     ASSERT_GE(simulation.provisioned_types().size(), 2u);
     EXPECT_EQ(simulation.provisioned_types().front(), "gpu");
 }
 
-// A kind that the cloud has refused is asked for again after 5 to 20 s, or as soon as a machine of
-// it has gone; other kinds and zones do not back off, and a request's name is never used twice.
+// A machine kind that the cloud has refused is requested again after 5 to 20 s, or as soon as a
+// machine of the kind is released. Other kinds and zones do not back off. The name of a request is
+// never used twice.
 TEST(MachineTypes, ProvisioningBackoffIsPerMachineKind) {
     using Result = cloud::ProvisionReply::Result;
     cloud::ProvisioningTracker tracker;
@@ -173,7 +176,7 @@
         const std::string name = tracker.start_request(3, 9, spot, 4);
         EXPECT_TRUE(names.insert(name).second);
         EXPECT_EQ(tracker.start_request(3, 9, spot, 1), "");          // one request at a time
-        tracker.on_reply(name, {Result::provisioned, {"i-1"}}, now);  // fewer than asked for
+        tracker.on_reply(name, {Result::provisioned, {"i-1"}}, now);  // fewer than requested
         EXPECT_TRUE(tracker.requests().empty());
         EXPECT_TRUE(tracker.is_backing_off(spot, now + wait - 1));
         EXPECT_FALSE(tracker.is_backing_off(ordinary, now));
--- a/tests/waiting_job_checker.h
+++ b/tests/waiting_job_checker.h
@@ -1,4 +1,5 @@
-// Whether jobs wait although they could run.
+/// @file
+/// Checks in a simulation that no job waits for long although it could run.
 #pragma once
 #include <map>
 #include <string>
@@ -7,9 +8,9 @@
 
 namespace nickelramp::test {
 
-/// Measures for how long jobs wait while nothing but the leader holds them back: a task of the job,
-/// or its whole gang, fits machines that are up, sound and reachable, and its team's quota. The
-/// wait of a job that is given slots one by one begins anew with each.
+/// Measures for how long jobs wait although they could run: a task of the job, or its whole gang,
+/// fits machines that are up, healthy and reachable, and fits its team's quota. The wait of a job
+/// starts again whenever it is given a slot.
 class WaitingJobChecker {
   public:
     WaitingJobChecker(SimulationContext& context, const wire::Settings& settings,
@@ -21,19 +22,20 @@
           network_(network),
           jobs_(jobs) {}
 
-    /// check() does nothing before that. `describe` is for messages of failures.
-    void expect_wait_below(Millis longest, std::function<std::string()> describe) {
-        longest_ = longest;
+    /// Sets the longest allowed wait. Until then check() does nothing.
+    /// @param describe returns a description of the simulation for failure messages
+    void expect_wait_below(Millis max_wait, std::function<std::string()> describe) {
+        max_wait_ = max_wait;
         describe_ = std::move(describe);
     }
-    /// The job is given a slot.
-    void on_start(const std::string& job) { waits_since_.erase(job); }
+    /// Records that the job was given a slot.
+    void on_start(const std::string& job) { waiting_since_.erase(job); }
     /// Asserts that no open job waits longer than allowed.
     void check(const std::function<bool(const std::string& job)>& is_open);
 
   private:
     using TasksByZone = std::map<std::string, std::uint32_t>;
-    /// What of a job and its team is placed already.
+    /// What is already placed of a job and its team.
     struct Placed {
         TasksByZone tasks_by_zone;
         std::uint32_t missing = 0;  ///< tasks that are neither placed nor completed
@@ -43,18 +45,18 @@
     [[nodiscard]] Placed placed(const wire::JobSpec& spec) const;
     [[nodiscard]] bool fits_quota(const wire::JobSpec& spec, double used, std::uint32_t more) const;
     [[nodiscard]] bool usable(const SimulatedMachine& machine, const wire::JobSpec& spec) const;
-    /// How many tasks the machine has room for, `most` at the most.
-    [[nodiscard]] std::uint32_t room_on(const SimulatedMachine& machine, const wire::JobSpec& spec,
-                                        std::uint32_t most) const;
+    /// Returns how many tasks of the job the machine has room for, at most `most`.
+    [[nodiscard]] std::uint32_t free_slots_on(const SimulatedMachine& machine,
+                                              const wire::JobSpec& spec, std::uint32_t most) const;
 
     SimulationContext& context_;
     const wire::Settings& settings_;
     const SimulatedWorkers& workers_;
     const SimulatedNetwork& network_;
     const SimulatedJobs& jobs_;
-    Millis longest_ = kNever;
+    Millis max_wait_ = kNever;
     std::function<std::string()> describe_;
-    std::map<std::string, Millis> waits_since_;
+    std::map<std::string, Millis> waiting_since_;
 };
 
 }  // namespace nickelramp::test
--- a/tests/waiting_jobs_test.cpp
+++ b/tests/waiting_jobs_test.cpp
@@ -1,6 +1,6 @@
-// Once the faults are over, no job is left waiting for 90 s while a machine that fits has free
-// capacity and its team is below its quota (docs/design/waiting-jobs.md). The simulation says what
-// would fit.
+// Once all faults have ended, no job waits for 90 s while a machine that fits has free capacity and
+// the job's team is below its quota (docs/design/waiting-jobs.md). Whether a job would fit is
+// computed from the state of the simulation.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
@@ -20,8 +20,8 @@
     return faults;
 }
 
-// Runs jobs of all shapes under two kinds of faults, then ends the faults; with every other seed
-// the cloud has no capacity from then on. Returns the longest wait.
+// Runs jobs of all shapes under two kinds of faults, then ends the faults. With every other seed
+// the cloud has no capacity from then on. Returns the longest wait after the faults.
 Millis longest_wait_after_faults(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
@@ -110,7 +110,8 @@
     EXPECT_LT(longest, kMaxWait);
 }
 
-// All machines fail what is put on them, again and again, until they are repaired.
+// On every machine, each task fails until the machine is repaired, so the back-off of the job
+// grows.
 TEST(WaitingJobs, BackoffsEndSoonAfterTheFaultDoes) {
     for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -132,22 +133,22 @@
     }
 }
 
-// A job that always fails and one that does not want the only slot that there is.
+// A job that always fails and a job that does not fail compete for the only slot.
 TEST(WaitingJobs, AFaultyJobLeavesTheOnlySlotToOthers) {
     for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ClusterSimulation simulation(seed, {});
-        wire::Json bad = job("job-0", "sweep", 1, 2), good = job("job-1", "sweep", 1, 2);
-        wire::Json stays = job("job-2", "standing", 1, 2);  // so that the machine does too
-        bad["yard"] = good["yard"] = stays["yard"] = "b";
-        bad["urgency"] = "urgent";
+        wire::Json failing = job("job-0", "sweep", 1, 2), healthy = job("job-1", "sweep", 1, 2);
+        wire::Json service = job("job-2", "standing", 1, 2);  // keeps the machine
+        failing["yard"] = healthy["yard"] = service["yard"] = "b";
+        failing["urgency"] = "urgent";
         simulation.make_job_fail("job-0");
-        simulation.submit(stays);
+        simulation.submit(service);
         simulation.run_until(35'000);
         simulation.set_faults(no_capacity());
-        simulation.submit(bad);
+        simulation.submit(failing);
         simulation.run_until(36'000);
-        simulation.submit(good);
+        simulation.submit(healthy);
         simulation.expect_wait_below(kMaxWait);
         simulation.run_until(240'000);
         EXPECT_EQ(simulation.final_state("job-1"), "done")
@@ -155,8 +156,9 @@
     }
 }
 
-// Capacity that is kept for other work while the cloud answers nobody: empty machines for a gang
-// that its team's quota keeps waiting; a type that some work has no choice but to use.
+// Capacity is withheld from a job for other work while the cloud is down. With even seeds, empty
+// machines are kept for a gang that waits for quota. With odd seeds, a machine type is kept for
+// work that fits no other type.
 TEST(WaitingJobs, WithheldCapacityIsNotWithheldForever) {
     for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -165,19 +167,19 @@
             seed, {}, 0,
             {{"g4", 16, 4, 64, 50, 1, kept_for_gang ? 10.0 : 20.0, 4, 10, {"a", "b"}},
              {"g2", 8, 2, 32, 50, 1, 6, 3, 10, {"a"}}});
-        wire::Json stays = job("job-0", "standing", 3, 2), gang = job("job-1", "ensemble", 3, 4);
+        wire::Json service = job("job-0", "standing", 3, 2), gang = job("job-1", "ensemble", 3, 4);
         wire::Json other = job("job-2", "ensemble", 4, 4);  // leaves empty machines behind
-        stays["yard"] = "a";
+        service["yard"] = "a";
         other["crew"] = "blue";
         gang["rigs"] = other["rigs"] = wire::Json::array({"g4"});
-        if (kept_for_gang) simulation.submit(stays);
+        if (kept_for_gang) simulation.submit(service);
         simulation.submit(other);
         while (simulation.final_state("job-2").empty() && simulation.now() < 120'000)
             simulation.run_until(simulation.now() + 100);
         Faults faults;
         faults.cloud_down = true;
         simulation.set_faults(faults);
-        if (kept_for_gang) simulation.submit(gang);  // six of the team's twelve gpus are in use
+        if (kept_for_gang) simulation.submit(gang);  // 6 of the team's 12 gpus are in use
         simulation.run_until(simulation.now() + 1'000);
         wire::Json array = job("job-3", "sweep", 1, 1);
         array["standby"] = kept_for_gang;
@@ -192,7 +194,7 @@
     }
 }
 
-// Shard grants are lost, so the holder never learns of a job that was delegated to it.
+// All shard grants are lost, so the holder never receives a job that was delegated to it.
 TEST(WaitingJobs, AJobItsHolderNeverReceivedIsReclaimed) {
     std::size_t lost = 0;
     for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
@@ -223,8 +225,8 @@
     for (std::uint64_t seed = 1; seed <= 6 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ClusterSimulation simulation(seed, {});
-        wire::Json one = job("job-0", "sweep", 1, 1), stays = job("job-1", "standing", 1, 1);
-        one["yard"] = stays["yard"] = "b";
+        wire::Json one = job("job-0", "sweep", 1, 1), service = job("job-1", "standing", 1, 1);
+        one["yard"] = service["yard"] = "b";
         simulation.set_task_duration("job-0", 40'000);
         simulation.submit(one);
         simulation.run_until(25'000);
@@ -234,16 +236,16 @@
         simulation.run_until(70'000);
         simulation.fail_over();
         ASSERT_EQ(simulation.leader()->open_jobs().at("job-0")->live_attempts,
-                  1u);  // as the record has it
+                  1u);  // according to the record
         simulation.clear_faults();
-        simulation.submit(stays);
+        simulation.submit(service);
         simulation.expect_wait_below(35'000);
         simulation.run_until(180'000);
         EXPECT_EQ(simulation.final_state("job-0"), "done") << simulation.describe_cluster_state();
     }
 }
 
-// Half of a gang that is to be spread fits, the other half nowhere: nothing is stopped or reserved.
+// Only half of a spread gang fits. No task is stopped and no capacity is reserved for it.
 TEST(WaitingJobs, NoCapacityIsReservedForHalfAGang) {
     for (std::uint64_t seed = 1; seed <= 4 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -268,12 +270,12 @@
     }
 }
 
-// The quota that is reserved for a gang is withheld from its team's other jobs for a limited time.
+// Quota reserved for a gang is withheld from other jobs of its team for a limited time only.
 TEST(WaitingJobs, QuotaReservedForAGangIsNotReservedForever) {
     for (std::uint64_t seed = 1; seed <= 4 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ClusterSimulation simulation(seed, {});
-        wire::Json array = job("job-0", "sweep", 5, 2);  // ten of twelve
+        wire::Json array = job("job-0", "sweep", 5, 2);  // uses 10 of the 12 gpus of the team
         array["urgency"] = "urgent";
         simulation.set_task_duration("job-0", 900'000);
         simulation.submit(array);
@@ -292,7 +294,7 @@
     }
 }
 
-// A long job keeps its shard, where other jobs would fit that can't be delegated.
+// A long job occupies a shard on which other jobs would fit that cannot be delegated.
 TEST(WaitingJobs, AShardIsReclaimedWhenOthersNeedItsCapacity) {
     std::size_t kept = 0;
     for (std::uint64_t seed = 1; seed <= 8 && !HasFailure(); ++seed) {
@@ -318,7 +320,8 @@
     EXPECT_GT(kept, 4u);
 }
 
-// Very many machines of a kind have cpus left and no memory; the one that fits is found last.
+// 320 machines of one kind have free cpus but too little free memory. The one that fits is found
+// last.
 TEST(WaitingJobs, TheOnlyFittingMachineIsFoundAmongMany) {
     ClusterSimulation simulation(1, {}, 0, {{"m", 64, 0, 8, 50, 1, 10, 4, 10, {"a"}}});
     wire::Json many = job("job-0", "standing", 320, 0), one = job("job-1", "sweep", 1, 0);
