--- a/src/dependencies/dependency_automata.h
+++ b/src/dependencies/dependency_automata.h
@@ -25,7 +25,7 @@
 struct Attributes {
     bool forcible = false;    ///< may be made to occur without being submitted
     bool rejectable = false;  ///< may be rejected
-    bool delayable = false;   ///< may be delayed after it was submitted
+    bool delayable = false;   ///< may stay pending after it was submitted
 };
 
 /// State of an event. An excluded event was rejected or terminated and cannot occur any more.
--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -113,8 +113,8 @@
     return zone;
 }
 
-// Returns whether the job would be placed on the machine once it has room. Preempting tasks
-// elsewhere would not help the job.
+// Returns whether the job could be placed on the machine once tasks there have been preempted.
+// Preemption on any other machine would not help the job.
 bool PreemptionSearch::may_make_room_on(const Machine& machine) const {
     if (!machine.accepts_tasks() || !rules_.allowed(job_, machine) ||
         now_ < machine.probation_until)
--- a/src/scheduling/task_placement.cpp
+++ b/src/scheduling/task_placement.cpp
@@ -88,7 +88,7 @@
     return now_ < machine.cordoned_until || rules_.should_avoid(job_, machine);
 }
 
-// The result can change with each task that is placed, so it is computed anew for each task.
+// The result can change with each task that is placed, so it is checked again for each task.
 bool TaskPlacement::may_use(const Machine& machine) {
     if (withheld_.withholds(withheld_from_job(machine))) return false;
     if (job_.spec.one_zone && zone_ != kNone && machine.zone != zone_) return false;
--- a/tests/dependency_automata_test.cpp
+++ b/tests/dependency_automata_test.cpp
@@ -35,7 +35,7 @@
         return std::find(h.begin(), h.end(), e) != h.end();
     }
     // Returns whether the sequence `h`, with the excluded events `out`, satisfies every dependency
-    // now, and still can whichever facts are submitted later.
+    // now and regardless of which facts are submitted later.
     bool satisfies_all(const std::vector<std::size_t>& h, const std::vector<bool>& out) const {
         for (const Dependency& d : dependencies) {
             bool has1 = occurred(d.e1, h), has2 = occurred(d.e2, h);
@@ -191,7 +191,7 @@
                     EXPECT_LT(at(d.e1), at(d.e2)) << "round " << round;
                 }
                 if (d.kind == DependencyAutomata::Kind::existence && has1 && !has2) {
-                    // Only a fact can occur although its automata do not accept it.
+                    // Only a fact can occur without being accepted by its automata.
                     EXPECT_TRUE(!model.attributes[d.e1].delayable &&
                                 !model.attributes[d.e1].rejectable)
                         << "round " << round;
@@ -254,7 +254,7 @@
     EXPECT_EQ(out.accepted, (std::vector<Event>{prerequisite, first, second}));
 }
 
-// Guards against forcing events needlessly, by which the first start of a job cancelled the job.
+// Guards against forcing events needlessly: the first start of a job forced its cancelled event.
 TEST(DependencyAutomata, AStartForcesNothing) {
     DependencyAutomata automata;
     Event start = automata.add_event({.rejectable = true, .delayable = true});
