--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -85,8 +85,7 @@
     }
     if (gang.fits_limit_since == 0) {
         gang.fits_limit_since = now;
-        // These two fields were set by preemption within the quota. They start anew for preemption
-        // on machines.
+        // Resets the state of preemption within the quota, which does not apply to machines.
         gang.preemption_under_way = false;
         gang.next_preemption_at = 0;
     }
