--- a/src/lifecycle/checkpoint_writer.cpp
+++ b/src/lifecycle/checkpoint_writer.cpp
@@ -15,12 +15,13 @@
 namespace {
 constexpr Millis kRetryDelay = 250;
 constexpr Millis kProtocolErrorRetryDelay = 4 * kRetryDelay;
-/// Completions wait this long so that several are written together.
+// Delay of a checkpoint after the first unsaved completion, so that several are written together.
 constexpr Millis kCompletionDelay = 10'000;
-/// Slots that come free one by one are recorded together: one record each would be more than the
-/// state service's rate limit allows.
+// Minimum interval between checkpoints of an array job that still has tasks to place. Attempts
+// that are placed one by one as slots become free are recorded together, because a transaction for
+// each of them would exceed the state service's rate limit.
 constexpr Millis kMinCommitInterval = 300;
-/// Entries in one transaction, which bounds its size in bytes.
+// A transaction with this many entries gets no further chunks, which bounds its size in bytes.
 constexpr std::size_t kMaxEntriesPerCommit = 1200;
 
 std::uint32_t chunk_of(std::uint32_t task) { return task / jobs::kChunkTasks; }
@@ -32,7 +33,7 @@
     return std::nullopt;
 }
 
-// Names attempts that have ended, so that their numbers are not used again.
+// Adds attempts that have ended, so that their numbers are not reused.
 void add_ended_attempts(const Job& job, std::uint32_t chunk_number, jobs::RunRecord& record) {
     for (const jobs::RetryTask& retry : job.retry_tasks) {
         if (chunk_of(retry.task) == chunk_number && retry.last_attempt > 0)
@@ -47,7 +48,7 @@
 
 Millis CheckpointWriter::next_write_at(const Job& job) const {
     if (job.commit_in_flight || job.delegated_shard != kNone) return kNever;
-    // The transaction that ends a job replaces its checkpoints.
+    // The transaction that ends a job deletes its checkpoints.
     if (job.state != JobState::open) return kNever;
     Millis due = kNever;
     if (job.unsaved_completions_since != 0) due = job.unsaved_completions_since + kCompletionDelay;
@@ -60,8 +61,8 @@
 
 void CheckpointWriter::write(Job& job, Millis now) {
     Commit commit{job.spec.id, ++job.last_commit_number, {}};
-    // Before any chunk is marked as written: the chunks of a transaction that is not sent would
-    // never be recorded.
+    // This check precedes the loop that marks chunks as clean. Chunks that were marked as clean
+    // without sending the transaction would never be recorded.
     if (const auto uncertain = first_dirty_chunk_of_uncertain_version(job)) {
         reread_chunk(job, *uncertain);
         return;
@@ -149,7 +150,8 @@
         if (attempt->commit_number == commit.number && attempt->state == AttemptState::recording)
             cluster_.attempt_recorded(*attempt, now);
     }
-    // A gang starts only when all of it is recorded, so its members' machines wait for the last.
+    // A gang starts only when all of its attempts are recorded. Only then are commands queued for
+    // the machines of its members.
     if (job.is_gang() && job.all_attempts_recorded()) {
         for (const auto& attempt : job.attempts) {
             if (Machine* machine = cluster_.machine_of(*attempt)) actions_.queue_commands(*machine);
@@ -179,13 +181,13 @@
 void CheckpointWriter::mark_uncertain_chunks(Job& job, const Commit& commit,
                                              const kvstore::CommitReply& reply) {
     if (reply.status == kvstore::Status::unknown) {
-        // The transaction may have been applied, or may yet be.
+        // The transaction may have been applied, or may still be applied later.
         for (const std::uint32_t number : commit.chunks) job.chunks[number].uncertain = true;
         return;
     }
     if (reply.status != kvstore::Status::conflict) return;
-    // A changed open record arrives with the watch; until then the retry fails on the same
-    // condition.
+    // If the open record has changed, the watch delivers the new version. Until then, retries fail
+    // on the same condition.
     for (const std::string& key : reply.failed_conditions) {
         if (const auto run_key = jobs::parse_run_key(key))
             job.chunks[run_key->chunk].uncertain = true;
--- a/src/lifecycle/job_lifecycle.cpp
+++ b/src/lifecycle/job_lifecycle.cpp
@@ -12,7 +12,7 @@
 namespace {
 constexpr Millis kRetryDelay = 300;
 
-// Nothing of the job runs or will run, so that its final status may be written.
+// Returns whether no task of the job runs or will start, so that its final status may be written.
 bool is_over(const Job& job) {
     return job.state == JobState::finishing ||
            (job.state == JobState::cancelled && job.live_attempts == 0);
@@ -37,8 +37,8 @@
     }
     if (version <= job->version) return;
     job->version = version;
-    // Every task has completed: the job is done, unless its user was already told that it is
-    // cancelled.
+    // All tasks have completed, so the job ends as done, unless its user was already told that it
+    // is cancelled.
     if (record.cancel_requested && !record.cancelled && job->state == JobState::finishing) return;
     if (cancelled) cancel(*job, now);
 }
@@ -48,7 +48,7 @@
     if (job == nullptr || job->delegated_shard != kNone || job->state == JobState::finished) return;
     const bool was_open = job->state == JobState::open;
     cluster_.set_job_state(*job, JobState::finished);
-    // Nothing was started without its open record; attempts that were only placed are given up.
+    // No attempt is started without an open record. Attempts that were only placed are dropped.
     if (was_open) cluster_.stop_all_attempts(*job, now);
     cluster_.remove_job(id);
     cluster_.request_scheduling();
@@ -99,7 +99,7 @@
     if (job.backoff_until != 0) due = std::min(due, job.backoff_until);
     if (is_over(job) && !job.commit_in_flight && job.delegated_shard == kNone)
         due = std::min(due, job.retry_commit_at);
-    // Never again at the same time, so that a pass over the due jobs ends.
+    // Later than `now` in any case, so that processing the due jobs terminates.
     if (due < kNever) cluster_.wake_at(job, std::max(due, now + 1));
 }
 
@@ -130,7 +130,7 @@
 void JobLifecycle::finish_if_complete(Job& job, Millis now) {
     if (job.state == JobState::open && !job.is_service() && job.completed_tasks == job.spec.tasks)
         cluster_.set_job_state(job, JobState::finishing);
-    if (job.delegated_shard != kNone) return;  // its shard holder finishes it
+    if (job.delegated_shard != kNone) return;  // the shard holder finishes it
     if (is_over(job) && !job.commit_in_flight && now >= job.retry_commit_at) finish(job, now);
 }
 
@@ -155,8 +155,8 @@
     kvstore::Transaction& transaction = last.transaction;
     transaction.conditions = term_.conditions();
     transaction.conditions.push_back({jobs::open_key(job.spec.id), job.version});
-    // A cancellation is confirmed only here, when nothing of the job is left: until then a
-    // controller that could not hear of it may have gone on replying to the job's machines.
+    // A cancellation is confirmed only here, when no attempt of the job is left. Until then, a
+    // controller that has not received the cancellation may still reply to the job's machines.
     const auto status =
         job.state == JobState::finishing ? wire::JobStatus::done : wire::JobStatus::cancelled;
     transaction.writes.push_back(
@@ -164,7 +164,7 @@
          wire::Json{{"final", wire::final_name(status)}, {"tasks", job.spec.tasks}}});
     transaction.writes.push_back({jobs::open_key(job.spec.id), std::nullopt});
     for (const auto& [number, chunk] : job.chunks) {
-        if (chunk.version == 0 && !chunk.uncertain) continue;  // it has no record
+        if (chunk.version == 0 && !chunk.uncertain) continue;  // no record exists
         std::string key = jobs::run_key(job.spec.id, number);
         if (transaction.writes.size() < term_.settings().state_txn_ops)
             transaction.writes.push_back({std::move(key), std::nullopt});
@@ -190,8 +190,8 @@
     job->retry_commit_at = now + kRetryDelay;
     schedule_next_wake_up(*job, now);
     if (reply.status != kvstore::Status::conflict || term_.check_superseded(reply)) return;
-    // The job was cancelled meanwhile, or an earlier try was applied after all, or another leader
-    // has finished it: the open record shows which.
+    // The job was cancelled in the meantime, an earlier transaction was applied after all, or
+    // another leader has finished the job. The open record shows which.
     term_.gateway().read(
         jobs::open_key(id),
         term_.guarded([this, id](Millis replied_at, const kvstore::GetReply& open_record) {
@@ -206,7 +206,7 @@
     if (reply.status == kvstore::Status::missing) {
         remove_finished_job(*job);
     } else if (reply.status == kvstore::Status::ok) {
-        // The time of acceptance matters only for jobs that are added, and this one is known.
+        // The wall-clock time is used only when a job is added, and this job is known already.
         const std::int64_t unused_wall_ms = 0;
         if (const auto record = jobs::decode_open_record(reply.entry.value))
             on_open_record(*record, reply.entry.version, unused_wall_ms, now);
--- a/src/lifecycle/leftover_records.cpp
+++ b/src/lifecycle/leftover_records.cpp
@@ -10,7 +10,7 @@
     keys_.insert(keys_.end(), keys.begin(), keys.end());
 }
 
-void LeftoverRecords::delete_some(Millis now) {
+void LeftoverRecords::delete_batch(Millis now) {
     if (keys_.empty() || !term_.lease_confirmed(now) || now < retry_at_) return;
     const std::size_t max_writes = term_.settings().state_txn_ops / 2;
     kvstore::Transaction transaction;
@@ -22,7 +22,7 @@
     term_.gateway().commit(
         transaction, term_.guarded([this, writes = transaction.writes](
                                        Millis replied_at, const kvstore::CommitReply& reply) {
-            // On a conflict somebody else leads, whose garbage collector deletes them.
+            // After a conflict another controller leads, and its garbage collector deletes them.
             if (reply.status == kvstore::Status::ok || reply.status == kvstore::Status::conflict)
                 return;
             for (const kvstore::Write& write : writes) keys_.push_back(write.key);
--- a/src/lifecycle/leftover_records.h
+++ b/src/lifecycle/leftover_records.h
@@ -1,6 +1,6 @@
 /// @file
-/// Checkpoint records (`run/<job>/<chunk>`) of finished jobs that the transaction which ended the
-/// job had no room to delete.
+/// Deletes checkpoint records (`run/<job>/<chunk>`) of finished jobs that did not fit into the
+/// transaction that ended the job.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,20 +9,20 @@
 
 namespace nickelramp::lifecycle {
 
-/// Deletes leftover records, a transaction's worth at a time.
+/// Deletes leftover records in batches of one transaction.
 ///
-/// Guarantees nothing beyond this term: what is still listed when it ends is found and deleted by
-/// the holder of the garbage collection role. Owned and called by JobLifecycle.
+/// The list of keys is lost at the end of the term. The holder of the garbage collection role finds
+/// and deletes the records that are left by then. Owned and called by JobLifecycle.
 class LeftoverRecords {
   public:
     explicit LeftoverRecords(cluster::TermContext& term) : term_(term) {}
 
     void add(const std::vector<std::string>& keys);
 
-    /// Sends one deleting transaction if there is anything to delete, the leader's lease is
-    /// confirmed and no retry delay is running. Keys of a transaction that neither succeeded nor
-    /// met a conflict are listed again and retried after a second.
-    void delete_some(Millis now);
+    /// Sends one transaction of deletions if there are keys to delete, the leader's lease is
+    /// confirmed and no retry delay is running. If it ends neither with success nor with a
+    /// conflict, its keys are queued again and retried after a second.
+    void delete_batch(Millis now);
 
   private:
     cluster::TermContext& term_;
