--- a/src/sharding/shard_allocator.cpp
+++ b/src/sharding/shard_allocator.cpp
@@ -43,7 +43,7 @@
     peers_[status.from] = {status.incarnation, status.clock_ms, healthy, now};
 }
 
-bool ShardAllocator::heard_recently(const Peer& peer, Millis now) {
+bool ShardAllocator::status_is_recent(const Peer& peer, Millis now) {
     return now - peer.last_status_at <= readiness::kPeerStatusLifetime;
 }
 
@@ -64,7 +64,7 @@
         return;
     next_allocation_at_ = now + kAllocationInterval;
     for (const auto& [peer_name, peer] : peers_) {
-        if (!peer.healthy || !heard_recently(peer, now) || has_lease(peer_name)) continue;
+        if (!peer.healthy || !status_is_recent(peer, now) || has_lease(peer_name)) continue;
         const std::vector<Machine*> machines = machine_selector_.select(count, now);
         if (machines.empty()) continue;
         lease_machines(machines, peer_name, peer, now);
@@ -99,11 +99,11 @@
     if (!job.attempts.empty() || job.commit_in_flight) return false;
     if (job.unplaced_tasks() != job.spec.tasks || !rules_.within_limit(job, job.spec.tasks))
         return false;
-    // Replicas never end, and would keep the shard from ever being idle.
+    // The replicas of a service never end, so the shard would never become idle.
     if (job.is_service()) return false;
-    // A shard is of one zone.
+    // All machines of a shard are in one zone.
     if (job.spec.spread && job.spec.tasks > 1) return false;
-    // Records of earlier attempts may name machines that the holder does not have.
+    // Records of earlier attempts may name machines outside the shard.
     return job.chunks.empty() && job.gang_attempt == 0;
 }
 
@@ -113,7 +113,7 @@
         if (lease.state != ShardLeaseState::active || lease.jobs.size() >= kMaxJobsPerShard)
             continue;
         const Peer* peer = peer_of(lease);
-        if (peer == nullptr || !heard_recently(*peer, now)) continue;
+        if (peer == nullptr || !status_is_recent(*peer, now)) continue;
         if (!reserve_for_job(lease, job)) continue;
         lease.jobs.push_back(job.spec.id);
         cluster_.delegate_job(job, shard_number);
@@ -125,15 +125,15 @@
     return false;
 }
 
-// Reserves capacity for all tasks of the job, or for none.
+// Reserves capacity for all tasks of the job, or for none if they do not all fit.
 bool ShardAllocator::reserve_for_job(ShardLease& lease, const Job& job) const {
     const Need need = placement::need_of(job);
     std::vector<MachineCapacity> capacity = lease.capacity;
     std::uint32_t tasks_left = job.spec.tasks;
-    for (MachineCapacity& on_machine : capacity) {
-        const Machine* machine = cluster_.machine_by_index(on_machine.machine);
+    for (MachineCapacity& machine_capacity : capacity) {
+        const Machine* machine = cluster_.machine_by_index(machine_capacity.machine);
         if (machine != nullptr && rules_.allowed(job, *machine))
-            tasks_left -= reserve_tasks(on_machine, need, tasks_left);
+            tasks_left -= reserve_tasks(machine_capacity, need, tasks_left);
     }
     if (tasks_left > 0) return false;
     lease.capacity = std::move(capacity);
@@ -156,7 +156,7 @@
                                Millis now) const {
     const Peer* peer = peer_of(lease);
     if (lease.state != ShardLeaseState::active || peer == nullptr) return false;
-    if (!heard_recently(*peer, now) || peer->incarnation != lease.incarnation) return false;
+    if (!status_is_recent(*peer, now) || peer->incarnation != lease.incarnation) return false;
     return !shard.dirty && !shard.write_uncertain;
 }
 
@@ -188,8 +188,8 @@
 std::string ShardAllocator::holder_of(Index machine) const {
     for (const auto& [shard_number, lease] : leases_) {
         if (lease.state != ShardLeaseState::active) continue;
-        for (const MachineCapacity& on_machine : lease.capacity) {
-            if (on_machine.machine == machine) return lease.holder;
+        for (const MachineCapacity& machine_capacity : lease.capacity) {
+            if (machine_capacity.machine == machine) return lease.holder;
         }
     }
     return "";
--- a/src/sharding/shard_allocator.h
+++ b/src/sharding/shard_allocator.h
@@ -1,15 +1,16 @@
 /// @file
-/// Shards leased to other controllers: the leader's side.
+/// The leader's side of shard leases: leases shards of machines to other controllers, delegates
+/// jobs to them and reclaims the shards.
 ///
-/// A leased machine is empty when it goes, and its shard's record, with the holder's own fencing
-/// token, is committed before the first grant is sent. The holder counts its lease from the moment
-/// at which it sent the status that the grant replies to, so it stops before the leader believes
-/// that it has. A shard is taken back by rewriting its record under a new token, which fences the
-/// holder's transactions; then the checkpoints of its jobs are read and its machines are asked what
-/// is on them, as after a change of leader.
+/// Machines are empty when they are leased out. The shard's record, with a fencing token for the
+/// holder, is committed before the first grant is sent. The holder counts its lease from the time
+/// at which it sent the status that the grant replies to, so it stops before the leader considers
+/// the lease expired. To reclaim a shard, the leader rewrites its record under a new token, which
+/// fences the holder's transactions. It then reads the checkpoints of the shard's jobs and asks the
+/// machines which tasks they run, as after a change of leader.
 ///
-/// Sources: shard_allocator.cpp has leasing and delegating, shard_reclaim.cpp ending and
-/// reclaiming.
+/// shard_allocator.cpp implements leasing and delegation, shard_reclaim.cpp the end of leases and
+/// the reclaiming of shards.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -28,37 +29,37 @@
 
 namespace nickelramp::sharding {
 
-/// The states of a shard lease, in their order.
+/// The states of a shard lease, in the order in which it goes through them.
 enum class ShardLeaseState {
     recording,   ///< the shard's record is being written
-    active,      ///< grants are sent, which renew the lease
-    expiring,    ///< none are sent any more; once the last has run out the shard is taken back
+    active,      ///< the lease is renewed by grants
+    expiring,    ///< no grants are sent; the shard is reclaimed once the lease has expired
     reclaiming,  ///< the record is being rewritten under a new token
-    recovering,  ///< its jobs' checkpoints are being read; its machines get no tasks until then
+    recovering,  ///< its jobs' checkpoints are being read; its machines get no tasks yet
 };
 [[nodiscard]] const char* name(ShardLeaseState state);
 
-/// Why an active lease is renewed no more.
+/// Why an active lease is no longer renewed.
 enum class ShardExpiryReason {
-    holder_lost,         ///< not heard from since the lease ran out
-    holder_unhealthy,    ///< restarted, or its state service does not answer it
-    holder_unconfirmed,  ///< it does not say that it has the shard
-    job_unconfirmed,     ///< it does not name a job that it was given
-    machine_unhealthy,   ///< it wants to be rid of a machine, with which the leader deals
-    idle,                ///< no job of it for a while
-    capacity_needed,     ///< jobs of the leader find no place
-    sharding_disabled,   ///< by the operator's options
+    holder_lost,         ///< the lease has expired and the holder sends no status
+    holder_unhealthy,    ///< the holder restarted, or the state service does not answer it
+    holder_unconfirmed,  ///< the holder does not report the shard
+    job_unconfirmed,     ///< the holder does not report a job delegated to it
+    machine_unhealthy,   ///< the holder reports an unhealthy machine, which the leader handles
+    idle,                ///< no jobs have been delegated with it for a while
+    capacity_needed,     ///< jobs of the leader cannot be placed
+    sharding_disabled,   ///< disabled in the operator's options
 };
 [[nodiscard]] const char* name(ShardExpiryReason reason);
 
-/// A shard that is leased to a holder, or on its way there or back.
+/// A shard that is being leased out, is leased to a holder, or is being reclaimed.
 struct ShardLease {
     std::string holder;
     std::uint64_t incarnation = 0;  ///< of the holder's process
     ShardLeaseState state = ShardLeaseState::recording;
-    Millis expires_at = 0;           ///< by then the holder has stopped, by its own clock
-    Millis idle_since = 0;           ///< it has had no job since then
-    Millis holder_confirmed_at = 0;  ///< the holder last said that it has the shard
+    Millis expires_at = 0;  ///< when the holder has certainly stopped, even if its clock is slow
+    Millis idle_since = 0;  ///< since when it has had no jobs
+    Millis holder_confirmed_at = 0;  ///< when the holder last reported the shard
     std::vector<MachineCapacity> capacity;
     std::vector<std::string> jobs;  ///< ids of the jobs delegated with it
 };
@@ -69,19 +70,19 @@
     peers::ShardGrant grant;
 };
 
-/// Leases shards to healthy peers, delegates jobs to them, and takes shards back.
+/// Leases shards to healthy peers, delegates jobs to them, and reclaims shards.
 ///
 /// Guarantees:
-/// - A machine is the leader's again only after every lease of it has run out and the record that
+/// - A machine is the leader's again only after every lease of it has expired and the record that
 ///   fences its holder is committed.
-/// - A job is delegated whole, before anything of it was started, and counts against its team's
-///   quota until its holder has finished it or it is taken back.
-/// - A delegated job that its holder does not confirm comes back within jobs::kMaxHoldBack.
-/// - While the leader's lease is not confirmed, nothing is leased, renewed or taken back.
+/// - A job is delegated whole, before any of its tasks is started, and counts against its team's
+///   quota until its holder has finished it or it is reclaimed.
+/// - A delegated job that its holder does not confirm is reclaimed within jobs::kMaxHoldBack.
+/// - While the leader's lease is not confirmed, no shard is leased, renewed or reclaimed.
 ///
-/// Called by the control loop alone: on ticks, in each scheduling pass, and with messages of peers.
-/// Runs on the one loop thread; times are milliseconds of the steady clock. Lives as long as its
-/// term and must be used by the leader only.
+/// Called by the control loop only: on ticks, in each scheduling pass, and for messages from peers.
+/// Runs on the loop thread. Times are milliseconds of the steady clock. Lives as long as its term
+/// and must be used by the leader only.
 class ShardAllocator {
   public:
     /// All arguments must outlive the allocator.
@@ -99,57 +100,58 @@
 
     // --- leasing
 
-    /// A peer, which may become a holder, has sent its status. The status' clock is the peer's own
-    /// and comes back in the next grant, whose lease runs from then.
+    /// Records the status of a peer, which may become a holder. The clock value in the status is
+    /// the peer's own. The next grant returns it, and the lease of that grant runs from then.
     void on_peer_status(const peers::Status& status, Millis now);
-    /// Leases a shard to one healthy peer that has none, at most once in 500 ms and not while jobs
-    /// find no place.
+    /// Leases a shard to one healthy peer that has none, at most once every 500 ms and not while
+    /// jobs cannot be placed.
     void allocate_shards(Millis now);
-    /// Delegates the job whole to a holder that has room for all of it.
-    /// @return whether it did.
+    /// Delegates the job to a holder whose shard has capacity for all of its tasks.
+    /// @return whether the job was delegated.
     bool delegate_job(jobs::Job& job, Millis now);
-    /// Whether jobs found no place in the last scheduling pass.
+    /// Records whether jobs could not be placed in the last scheduling pass.
     void set_jobs_starving(bool starving, Millis now) {
         if (starving && !jobs_starving_) starving_since_ = now;
         jobs_starving_ = starving;
     }
-    /// The grants to send now, one for each active lease whose record is committed; each renews its
-    /// lease for four seconds.
-    /// @param view_fresh every cancellation up to then is known here.
+    /// Returns the grants to send now, one for each active lease whose record is committed. Each
+    /// grant renews its lease for four seconds.
+    /// @param view_fresh time up to which this controller knows all cancellations.
     [[nodiscard]] std::vector<AddressedGrant> renewals(Millis view_fresh, Millis now);
 
     // --- ending
 
-    /// Ends leases that are idle, needed here or no longer confirmed, and takes back the shards of
-    /// those that have run out.
+    /// Stops renewing leases that are idle, whose capacity the leader needs or that their holders
+    /// do not confirm, and reclaims the shards of expired leases.
     void check_leases(Millis now);
-    /// A holder reports on its shard.
+    /// Handles a holder's report on its shard.
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now);
-    /// An open record has gone: whoever held the job has finished it. Ignores jobs that are not
-    /// delegated.
+    /// Handles the deletion of a delegated job's open record: the holder has finished the job.
+    /// Ignores jobs that are not delegated.
     void on_open_record_deleted(const std::string& id);
-    /// The shard's record is committed: its lease begins, or its jobs can be recovered.
+    /// Handles the commit of a shard's record: a new lease becomes active, or the recovery of a
+    /// reclaimed shard's jobs begins.
     void on_shard_recorded(std::uint32_t shard_number, Millis now);
 
     // --- reading
 
-    /// The controller that replies to a leased machine's heartbeats; empty while none does.
+    /// Returns the controller that replies to a leased machine's heartbeats; empty if none does.
     [[nodiscard]] std::string holder_of(Index machine) const;
-    /// The fencing tokens of all shards that are not the leader's, in any state.
+    /// Returns the fencing tokens of all leased shards, in any state of their leases.
     [[nodiscard]] std::vector<std::uint64_t> active_tokens() const;
-    /// By shard number.
+    /// The leases by shard number.
     [[nodiscard]] const std::map<std::uint32_t, ShardLease>& leases() const { return leases_; }
 
   private:
-    /// A peer as its last status describes it.
+    /// A peer as described by its last status.
     struct Peer {
         std::uint64_t incarnation = 0, clock_ms = 0;
         bool healthy = false;
         Millis last_status_at = 0;
     };
 
-    [[nodiscard]] static bool heard_recently(const Peer& peer, Millis now);
-    /// The holder's peer; null if no status of it has come in this term.
+    [[nodiscard]] static bool status_is_recent(const Peer& peer, Millis now);
+    /// Returns the peer that holds the lease; null if it has sent no status in this term.
     [[nodiscard]] const Peer* peer_of(const ShardLease& lease) const;
     [[nodiscard]] bool has_lease(const std::string& holder) const;
     void lease_machines(const std::vector<machines::Machine*>& machines, const std::string& holder,
@@ -182,8 +184,8 @@
     lifecycle::JobLifecycle& lifecycle_;
     ShardMachineSelector machine_selector_;
     const scheduling::PlacementRules& rules_;
-    std::map<std::string, Peer> peers_;           // by name
-    std::map<std::uint32_t, ShardLease> leases_;  // by shard number
+    std::map<std::string, Peer> peers_;           ///< by name
+    std::map<std::uint32_t, ShardLease> leases_;  ///< by shard number
     bool jobs_starving_ = false;
     Millis starving_since_ = 0;
     Millis next_allocation_at_ = 0;
--- a/src/sharding/shard_capacity.h
+++ b/src/sharding/shard_capacity.h
@@ -1,6 +1,6 @@
 /// @file
-/// What is free on the machines of a leased shard, as the leader counts it: it gives a holder only
-/// jobs that fit, and leaves their placement within the shard to the holder.
+/// The leader's account of the free capacity of a leased shard. The leader delegates only jobs that
+/// fit, and the holder decides on their placement within the shard.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -10,17 +10,17 @@
 
 namespace nickelramp::sharding {
 
-/// What no delegated job has of one machine of a shard.
+/// Capacity of one machine of a shard that is not reserved for delegated jobs.
 struct MachineCapacity {
     Index machine = kNone;
     double cpus = 0, gpus = 0, memory_gb = 0;
 };
 
-/// The capacity of a machine that nothing is on.
+/// Returns the capacity of an empty machine.
 [[nodiscard]] MachineCapacity empty_machine_capacity(Index machine, const wire::MachineType& type);
 
 /// Reserves capacity of the machine for as many tasks as fit, at most `tasks`.
-/// @return for how many it did.
+/// @return the number of tasks for which capacity was reserved.
 std::uint32_t reserve_tasks(MachineCapacity& capacity, const placement::Need& need,
                             std::uint32_t tasks);
 
--- a/src/sharding/shard_lease_writer.cpp
+++ b/src/sharding/shard_lease_writer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr Millis kRetryDelay = 250;
-/// Machines that join one by one are recorded together.
+// Minimum interval between writes, so that machines that join one by one are recorded together.
 constexpr Millis kMinWriteInterval = 100;
 }  // namespace
 
@@ -25,7 +25,7 @@
     const std::uint64_t reclaim_fence = term_.role_fence(lease::Role::shard_reclaim);
     const std::vector<std::uint32_t> numbers = writable_shards(limit, reclaim_fence);
     if (numbers.empty()) return;
-    // The many grants of a new leader, which fill the transaction, do not wait for each other.
+    // After a full transaction there is no delay. A new leader has many records to write.
     if (numbers.size() < limit) next_write_at_ = now + kMinWriteInterval;
     send(numbers, reclaim_fence);
 }
@@ -33,8 +33,8 @@
 std::vector<std::uint32_t> ShardLeaseWriter::writable_shards(std::size_t limit,
                                                              std::uint64_t reclaim_fence) {
     auto numbers = table_.dirty_shards(limit);
-    // While nobody holds the role, reclaiming waits: a condition on a fence of 0 would demand that
-    // nobody holds it.
+    // While no controller holds the role, reclaimed shards are not written: a condition on fence 0
+    // would require that the role has no holder.
     if (reclaim_fence == 0) {
         std::erase_if(
             numbers, [this](std::uint32_t number) { return table_.shard(number).being_reclaimed; });
--- a/src/sharding/shard_lease_writer.h
+++ b/src/sharding/shard_lease_writer.h
@@ -1,6 +1,6 @@
 /// @file
-/// Writes the records of shards (shards/shard_lease_table.h): a machine is used, and a shard
-/// granted, only after the record that says so is committed.
+/// Writes the records of shards (shards/shard_lease_table.h). A machine is used, and a shard
+/// granted, only after the corresponding record is committed.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,25 +11,26 @@
 
 namespace nickelramp::sharding {
 
-/// Owns the term's ShardLeaseTable and keeps the state service's records equal to it.
+/// Owns the term's ShardLeaseTable and keeps the records in the state service equal to it.
 ///
 /// Guarantees:
 /// - At most one transaction is in flight. It succeeds only while this term lasts and no other
-///   write has touched the records it replaces; records of shards that are taken back also need the
-///   fence of the shard reclaim role, and wait while nobody holds that role.
+///   write has changed the records it replaces. Records of reclaimed shards also require the fence
+///   of the shard reclaim role, and are not written while no controller holds that role.
 /// - A record whose last write has an unknown outcome is read before it is written again.
-/// - After a failure the next try follows after 250 ms at the earliest.
+/// - A failed write is retried after 250 ms at the earliest.
 ///
 /// Called by the control loop, which adds and removes machines and calls write() once per tick, and
-/// by ShardAllocator. Runs on the one loop thread and lives as long as its term; times are
-/// milliseconds of the steady clock.
+/// by ShardAllocator. Runs on the loop thread and lives as long as its term. Times are milliseconds
+/// of the steady clock.
 class ShardLeaseWriter {
   public:
-    /// Is told what has got on record. Implemented by the control loop.
+    /// Receives notifications of committed records. Implemented by the control loop.
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// The machine's shard is on record: commands may be sent to it under the shard's token.
+        /// The machine's shard record is committed. Commands may be sent to the machine under the
+        /// shard's token.
         virtual void on_machine_granted(machines::Machine& machine, Millis now) = 0;
         /// The shard's record is committed as the table had it when the write was sent.
         virtual void on_shard_recorded(std::uint32_t shard_number, Millis now) = 0;
@@ -42,19 +43,20 @@
     shards::ShardLeaseTable& table() { return table_; }
     [[nodiscard]] const shards::ShardLeaseTable& table() const { return table_; }
 
-    /// Sends one transaction with as many dirty shards as fit, or reads an uncertain record; does
-    /// nothing while one is in flight, a delay is running or the leader's lease is not confirmed.
+    /// Sends one transaction with as many dirty shards as fit, or reads a record whose last write
+    /// has an unknown outcome. Does nothing while a request is in flight, a delay is running or the
+    /// leader's lease is not confirmed.
     void write(Millis now);
     [[nodiscard]] bool write_in_flight() const { return write_in_flight_; }
 
   private:
-    /// What a transaction in flight writes.
+    /// The content of a transaction in flight.
     struct Commit {
         std::vector<std::uint32_t> shard_numbers;
         std::vector<std::string> machines;  ///< all members of those shards
     };
 
-    /// The shards that may be written now, under the given fence of the reclaim role.
+    /// Returns the shards that may be written now, given the fence of the reclaim role.
     [[nodiscard]] std::vector<std::uint32_t> writable_shards(std::size_t limit,
                                                              std::uint64_t reclaim_fence);
     void send(const std::vector<std::uint32_t>& shard_numbers, std::uint64_t reclaim_fence);
--- a/src/sharding/shard_machine_selector.cpp
+++ b/src/sharding/shard_machine_selector.cpp
@@ -5,7 +5,8 @@
 using machines::Machine;
 
 namespace {
-// Nothing is on the machine, on its way to it or kept for it.
+// Returns whether the machine is ready for use and has no attempts, command in flight or
+// reservation.
 bool is_unused(const Machine& machine, Millis now) {
     return machine.attempts.empty() && machine.shard_recorded && machine.reserved_for == kNone &&
            !machine.command_in_flight && now >= machine.probation_until && machine.confirmed();
@@ -38,7 +39,7 @@
             std::vector<Machine*>& in_zone = by_zone[machine->zone];
             if ((machine->spot || has_surplus) && is_unused(*machine, now))
                 in_zone.push_back(machine);
-            return in_zone.size() < count;  // then the zone has enough
+            return in_zone.size() < count;  // false ends the search among this kind
         });
 }
 
--- a/src/sharding/shard_machine_selector.h
+++ b/src/sharding/shard_machine_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which machines a shard that is leased out may consist of.
+/// Selects the machines of shards that are leased out.
 #pragma once
 #include <cstddef>
 #include <map>
@@ -18,11 +18,11 @@
     ShardMachineSelector(const cluster::ClusterState& cluster, forecast::DemandForecast& forecast)
         : cluster_(cluster), forecast_(forecast) {}
 
-    /// Machines to lease together: all empty, of one zone, and of no use to anybody else now. Those
-    /// that the cloud does not take back at will are chosen only beyond the forecast of spare
-    /// machines that the leader wants for itself.
-    /// @param count how many; must not be 0.
-    /// @return `count` machines, or none if no zone has as many.
+    /// Selects unused machines of one zone to be leased together. Machines that are not spot are
+    /// selected only if their type has more than `count` available machines beyond the spare
+    /// machines that the leader is forecast to need.
+    /// @param count number of machines; must not be 0.
+    /// @return `count` machines, or none if no zone has that many.
     [[nodiscard]] std::vector<machines::Machine*> select(std::size_t count, Millis now);
 
   private:
--- a/src/sharding/shard_reclaim.cpp
+++ b/src/sharding/shard_reclaim.cpp
@@ -1,4 +1,4 @@
-// How leases of shards end: ShardAllocator's other half.
+// Implements the part of ShardAllocator that ends shard leases and reclaims shards.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 namespace {
 constexpr Millis kMaxIdle = 8'000;
 constexpr Millis kMaxUnconfirmed = 8'000;
-// A shard is taken back when its holder has not named a job for this long (no grant reaches it), or
-// when others have found no place meanwhile. Taking it back needs as long again at the most, so
-// that no job is held back longer than jobs::kMaxHoldBack.
+// A shard is reclaimed when its holder has not reported a delegated job for this long (no grant
+// reaches the holder), or when other jobs could not be placed for this long. Reclaiming it takes at
+// most as long again, so that no job is held back for longer than jobs::kMaxHoldBack.
 constexpr Millis kMaxJobUnconfirmed = jobs::kMaxHoldBack / 2;
 constexpr Millis kMaxStarving = jobs::kMaxHoldBack / 2;
 }  // namespace
@@ -67,9 +67,10 @@
             if (!lease.jobs.empty()) lease.idle_since = now;
             if (const auto reason = expiry_reason(lease, now)) expire(shard_number, lease, *reason);
         }
-        const bool run_out = lease.state == ShardLeaseState::expiring && now >= lease.expires_at;
-        if (!run_out || !term_.lease_confirmed(now)) continue;
-        if (term_.role_fence(lease::Role::shard_reclaim) == 0) continue;  // nobody may reclaim now
+        const bool has_expired =
+            lease.state == ShardLeaseState::expiring && now >= lease.expires_at;
+        if (!has_expired || !term_.lease_confirmed(now)) continue;
+        if (term_.role_fence(lease::Role::shard_reclaim) == 0) continue;  // no holder is known
         reclaim_shard(shard_number, lease, now);
     }
 }
@@ -77,11 +78,12 @@
 std::optional<ShardExpiryReason> ShardAllocator::expiry_reason(const ShardLease& lease,
                                                                Millis now) const {
     const Peer* peer = peer_of(lease);
-    if (peer == nullptr || (now > lease.expires_at && !heard_recently(*peer, now)))
+    if (peer == nullptr || (now > lease.expires_at && !status_is_recent(*peer, now)))
         return ShardExpiryReason::holder_lost;
     if (!peer->healthy || peer->incarnation != lease.incarnation)
         return ShardExpiryReason::holder_unhealthy;
-    // It has let the shard go and does not take it up again, or has never heard of it.
+    // The holder has released the shard and does not accept it again, or has never received a
+    // grant.
     if (now - lease.holder_confirmed_at > kMaxUnconfirmed)
         return ShardExpiryReason::holder_unconfirmed;
     if (has_unconfirmed_job(lease, now)) return ShardExpiryReason::job_unconfirmed;
@@ -128,7 +130,7 @@
     cluster_.remove_job(id);
 }
 
-// The holder has the job no more: the capacity reserved for it is free.
+// Removes the job from the holder's lease and frees the capacity that is reserved for it.
 void ShardAllocator::take_job_from_holder(Job& job) {
     const auto entry = leases_.find(job.delegated_shard);
     cluster_.reclaim_job(job);
@@ -138,19 +140,21 @@
     recount_capacity(lease);
 }
 
-// Packs the remaining jobs anew. Where the holder has really placed their tasks is its own concern.
+// Reserves capacity anew for the remaining jobs. The holder's actual placement of their tasks may
+// differ and is not known here.
 void ShardAllocator::recount_capacity(ShardLease& lease) const {
-    for (MachineCapacity& on_machine : lease.capacity) {
-        const Machine* machine = cluster_.machine_by_index(on_machine.machine);
+    for (MachineCapacity& machine_capacity : lease.capacity) {
+        const Machine* machine = cluster_.machine_by_index(machine_capacity.machine);
         if (machine == nullptr) continue;
-        on_machine = empty_machine_capacity(on_machine.machine, cluster_.types()[machine->type]);
+        machine_capacity =
+            empty_machine_capacity(machine_capacity.machine, cluster_.types()[machine->type]);
     }
     for (const std::string& id : lease.jobs) {
         const Job* job = cluster_.job(id);
         if (job == nullptr) continue;
         std::uint32_t tasks_left = job->spec.tasks;
-        for (MachineCapacity& on_machine : lease.capacity)
-            tasks_left -= reserve_tasks(on_machine, placement::need_of(*job), tasks_left);
+        for (MachineCapacity& machine_capacity : lease.capacity)
+            tasks_left -= reserve_tasks(machine_capacity, placement::need_of(*job), tasks_left);
     }
 }
 
@@ -160,10 +164,10 @@
     set_lease_state(shard_number, lease, ShardLeaseState::reclaiming);
     shards::ShardLeaseTable& table = lease_writer_.table();
     table.reclaim(shard_number);
-    for (const MachineCapacity& on_machine : lease.capacity) {
-        Machine* machine = cluster_.machine_by_index(on_machine.machine);
+    for (const MachineCapacity& machine_capacity : lease.capacity) {
+        Machine* machine = cluster_.machine_by_index(machine_capacity.machine);
         if (machine == nullptr) continue;
-        // The holder has received messages of the machine that this controller has not.
+        // The holder has received messages from the machine that this controller has not.
         cluster_.take_control(*machine, table.shard(shard_number).fencing_token, now);
         machine->lease_until = partition::last_possible_lease_end(term_.settings(), now);
         machine->recovering_jobs = true;
@@ -183,9 +187,10 @@
         return;
     }
     if (lease.state != ShardLeaseState::reclaiming) return;
-    // The holder's transactions fail from here on, so the checkpoints as they are now name all that
-    // may run. Until they are read the machines look empty: some were once returned as idle, or
-    // leased out again.
+    // The holder's transactions fail from here on, so the current checkpoints name all attempts
+    // that may be running. Until they are read, the machines look empty. The recovering state
+    // prevents a fault in which such machines were returned to the cloud as idle or leased out
+    // again.
     set_lease_state(shard_number, lease, ShardLeaseState::recovering);
     std::erase_if(lease.jobs,
                   [this](const std::string& id) { return cluster_.job(id) == nullptr; });
@@ -194,8 +199,8 @@
 }
 
 void ShardAllocator::reclaim_job(Job& job) {
-    // Shards are granted one after the other, so the holder raised its own token to less than the
-    // one under which the shard was taken back.
+    // Grant numbers only increase, so any token that the holder derived from its grant is lower
+    // than the token under which the shard was reclaimed.
     const std::uint64_t highest_holder_token =
         lease_writer_.table().shard(job.delegated_shard).fencing_token - 1;
     term_.gateway().list("run/" + job.spec.id + "/",
@@ -223,17 +228,17 @@
     actions_.send_queued_commands(now);
 }
 
-// Ends the lease when the last of its jobs is recovered: its machines are the leader's again.
+// Ends the lease once the last of its jobs is recovered. Its machines are the leader's again.
 void ShardAllocator::finish_recovery(std::uint32_t shard_number) {
     const auto entry = leases_.find(shard_number);
     if (entry == leases_.end()) return;
     const ShardLease& lease = entry->second;
     if (lease.state != ShardLeaseState::recovering || !lease.jobs.empty()) return;
-    for (const MachineCapacity& on_machine : lease.capacity) {
-        Machine* machine = cluster_.machine_by_index(on_machine.machine);
+    for (const MachineCapacity& machine_capacity : lease.capacity) {
+        Machine* machine = cluster_.machine_by_index(machine_capacity.machine);
         if (machine == nullptr) continue;
         machine->recovering_jobs = false;
-        machine->token_confirmation_pending = true;  // its reply makes it ready
+        machine->token_confirmation_pending = true;  // the machine's reply makes it ready
         actions_.queue_commands(*machine);
     }
     leases_.erase(entry);
