--- a/tests/control_sharding_test.cpp
+++ b/tests/control_sharding_test.cpp
@@ -1,4 +1,4 @@
-// Shard leases: their records, and how shards are reclaimed.
+// Tests of shard leases: their records, and the reclaiming of shards.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
     return status;
 }
 
-// Two machines for the holder, and none kept for anything else.
+// Options that delegate two machines to a holder and keep none in reserve for other work.
 admin::Options options_with_delegation() {
     admin::Options options;
     options.delegated_machines = 2;
@@ -32,7 +32,8 @@
     return options;
 }
 
-// Machines that the leader has, of four slots of two cpus each, with their shard record.
+// Adds ready machines of the leader, each with four slots of two CPUs, and commits their shard
+// record.
 void add_recorded_machines(ControlFixture& fixture, int count) {
     for (int n = 0; n < count; ++n) {
         const std::string name = "m-" + std::to_string(n);
@@ -43,8 +44,8 @@
     RecordingGateway::answer(fixture.gateway.commits, 510, committed(11));
 }
 
-// A machine counts as granted only when the shard record that names it is written; a record whose
-// write has an unknown outcome is read first.
+// A machine counts as granted only after the shard record that names it is committed. A record
+// whose last write has an unknown outcome is read before it is written again.
 TEST(ControlParts, ShardLeasesAreRecordedBeforeMachinesAreUsed) {
     ControlFixture fixture;
     Machine& machine = fixture.add_ready_machine("m-1", "plain", "a");
@@ -57,7 +58,7 @@
     RecordingGateway::answer(fixture.gateway.commits, 1100, kvstore::CommitReply{});
     EXPECT_FALSE(machine.shard_recorded);
     fixture.shard_lease_writer.write(1200);
-    EXPECT_TRUE(fixture.gateway.reads.empty()) << "not at once";
+    EXPECT_TRUE(fixture.gateway.reads.empty()) << "read before the retry delay has passed";
     fixture.shard_lease_writer.write(2000);
     EXPECT_TRUE(fixture.gateway.commits.empty());
     kvstore::GetReply missing;
@@ -68,8 +69,9 @@
     EXPECT_TRUE(machine.shard_recorded);
 }
 
-// While nobody is known to have the role of reclaiming shards, a reclaimed shard is not recorded: a
-// condition on fence 0 once meant that nobody may have the role, and held.
+// While no holder of the shard reclaim role is known, a reclaimed shard is not recorded. Guards
+// against a fault in which the transaction had a condition on fence 0, which means that the role
+// has no holder, and succeeded.
 TEST(ControlParts, ShardsAreReclaimedUnderTheirRoleOnly) {
     ControlFixture fixture;
     auto& table = fixture.shard_lease_writer.table();
@@ -90,8 +92,8 @@
     }));
 }
 
-// A shard is reclaimed in this order: its lease expires, its record changes, the records of its
-// jobs are read, and only then its machines are used.
+// A shard is reclaimed in this order: its lease expires, its record is rewritten, the checkpoints
+// of its jobs are read, and only then its machines are used.
 TEST(ControlParts, AShardIsReclaimedRecordFirstThenJobsThenMachines) {
     ControlFixture fixture;
     fixture.term.set_options(options_with_delegation());
@@ -100,7 +102,8 @@
     fixture.shard_allocator.allocate_shards(1000);
     ASSERT_EQ(fixture.shard_allocator.leases().size(), 1u);
     const auto& [shard, lease] = *fixture.shard_allocator.leases().begin();
-    EXPECT_TRUE(fixture.shard_allocator.renewals(900, 1000).empty()) << "not on record yet";
+    EXPECT_TRUE(fixture.shard_allocator.renewals(900, 1000).empty())
+        << "the shard is not recorded yet";
     EXPECT_EQ(fixture.shard_allocator.holder_of(lease.capacity[0].machine), "");
     RecordingGateway::answer(fixture.gateway.commits, 1010, committed(11));
     ASSERT_EQ(fixture.shard_allocator.renewals(900, 1050).size(), 1u);
@@ -109,14 +112,14 @@
     EXPECT_FALSE(fixture.shard_allocator.delegate_job(too_large, 1100));
     Job& job = fixture.add_job(test::job("job-2", "sweep", 8, 0));
     EXPECT_TRUE(fixture.shard_allocator.delegate_job(job, 1100));
-    Job& late = fixture.add_job(test::job("job-3", "sweep", 1, 0));
-    EXPECT_FALSE(fixture.shard_allocator.delegate_job(late, 1100)) << "its slots are taken";
+    Job& surplus_job = fixture.add_job(test::job("job-3", "sweep", 1, 0));
+    EXPECT_FALSE(fixture.shard_allocator.delegate_job(surplus_job, 1100)) << "all slots are taken";
     EXPECT_EQ(fixture.cluster.team_usage(job.team).cpus, 16);
-    // The holder has ended; another process has its name.
+    // The holder's process has ended, and another process has its name.
     fixture.shard_allocator.on_peer_status(status_of_holder(4), 1200);
     fixture.shard_allocator.check_leases(1300);
     EXPECT_EQ(lease.state, sharding::ShardLeaseState::expiring);
-    EXPECT_TRUE(fixture.gateway.commits.empty()) << "its lease may last";
+    EXPECT_TRUE(fixture.gateway.commits.empty()) << "the lease may not have expired yet";
     fixture.shard_allocator.check_leases(1050 + with_clock_drift(4'000) + 1);
     EXPECT_EQ(lease.state, sharding::ShardLeaseState::reclaiming);
     fixture.shard_lease_writer.write(7000);
@@ -134,7 +137,7 @@
     EXPECT_FALSE(machine->recovering_jobs);
     EXPECT_TRUE(fixture.shard_allocator.leases().empty());
     EXPECT_EQ(job.completed_tasks, 1u);
-    EXPECT_EQ(job.live_attempts, 1u) << "it may be there";
+    EXPECT_EQ(job.live_attempts, 1u) << "the recorded attempt may be running";
     EXPECT_EQ(job.unplaced_tasks(), 6u);
     EXPECT_EQ(fixture.cluster.team_usage(job.team).cpus, 2);
 }
