--- a/src/sharding/shard_reclaim.cpp
+++ b/src/sharding/shard_reclaim.cpp
@@ -70,7 +70,7 @@
         const bool has_expired =
             lease.state == ShardLeaseState::expiring && now >= lease.expires_at;
         if (!has_expired || !term_.lease_confirmed(now)) continue;
-        if (term_.role_fence(lease::Role::shard_reclaim) == 0) continue;  // no holder is known
+        if (term_.role_fence(lease::Role::shard_reclaim) == 0) continue;  // role not held
         reclaim_shard(shard_number, lease, now);
     }
 }
