--- a/src/sharding/shard_lease_writer.h
+++ b/src/sharding/shard_lease_writer.h
@@ -29,8 +29,8 @@
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// Called when the machine's shard record is committed. Commands may be sent to it under the
-        /// shard's token.
+        /// Called when the machine's shard record is committed. Commands may be sent to it under
+        /// the shard's token.
         virtual void on_machine_granted(machines::Machine& machine, Millis now) = 0;
         /// Called when the shard's record is committed as it was when the write was sent.
         virtual void on_shard_recorded(std::uint32_t shard_number, Millis now) = 0;
