--- a/src/machines/heartbeat_reply.h
+++ b/src/machines/heartbeat_reply.h
@@ -1,6 +1,6 @@
-/// \file
-/// What a controller replies to a worker's heartbeat: the result of ControlLoop, ShardHolder and
-/// PartitionResponder, carried to the worker by HTTP or through a forwarding controller.
+/// @file
+/// A controller's reply to a worker's heartbeat. It is produced by ControlLoop, ShardHolder or
+/// PartitionResponder and sent to the worker over HTTP or through a forwarding controller.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,12 +13,13 @@
 
 /// HTTP statuses of a heartbeat reply.
 inline constexpr int kHeartbeatAccepted = 200;
-inline constexpr int kHeartbeatMisdirected = 421;  ///< another controller is responsible
-inline constexpr int kHeartbeatUnavailable = 503;  ///< nobody can say now; the worker retries
+inline constexpr int kHeartbeatMisdirected = 421;  ///< another controller manages the machine
+inline constexpr int kHeartbeatUnavailable =
+    503;  ///< the responsible one is not known now; the worker retries
 
 struct HeartbeatReply {
     int status = kHeartbeatAccepted;
-    std::string holder;       ///< with kHeartbeatMisdirected: who is responsible; may be empty
+    std::string holder;  ///< with kHeartbeatMisdirected: the responsible controller; may be empty
     std::uint64_t token = 0;  ///< with kHeartbeatAccepted: the fencing token for the worker
     std::vector<wire::Command> commands;  ///< with kHeartbeatAccepted
 
--- a/src/machines/machine_registry.cpp
+++ b/src/machines/machine_registry.cpp
@@ -27,7 +27,7 @@
 }
 
 Machine* MachineRegistry::add(const std::string& name) {
-    // Indices are not used again: lists of machines that failed a job outlive the machines.
+    // Indices are not reused, because per-job lists of failed machines outlive the machines.
     const auto index = static_cast<Index>(machines_.size());
     machines_.push_back(std::make_unique<Machine>());
     Machine* machine = machines_[index].get();
--- a/src/machines/worker_channel.cpp
+++ b/src/machines/worker_channel.cpp
@@ -3,10 +3,10 @@
 namespace nickelramp::machines {
 
 namespace {
-// A worker waits so long for a reply; a heartbeat may have been in flight as long.
+// How long a worker waits for a reply, and thus the longest time a heartbeat is in flight.
 constexpr Millis kWorkerReplyTimeout = 4'000;
 constexpr Millis kLeaseSlack = 1'000;
-// Half a lease: probes have been answered or have failed by then.
+// Divides the lease: within half of it, probes have been answered or have failed.
 constexpr Millis kLeaseDivisor = 2;
 }  // namespace
 
@@ -27,13 +27,13 @@
     unreached_since_ = 0;
 }
 
-void WorkerChannel::note_heard(Millis now) {
+void WorkerChannel::note_heartbeat(Millis now) {
     heartbeat_at_ = now;
     replies_only_since_ = 0;
     if (unreached_since_ == 0) unreached_since_ = now;
 }
 
-bool WorkerChannel::made_under_own_token(const wire::Heartbeat& heartbeat) const {
+bool WorkerChannel::echoes_own_token(const wire::Heartbeat& heartbeat) const {
     return own_token_floor_ != 0 && heartbeat.token >= own_token_floor_;
 }
 
@@ -41,7 +41,7 @@
                            Millis now) {
     const bool lost_lease = position.incarnation > newest_proven_.incarnation;
     const bool was_replied_to = replied_incarnation_ == newest_proven_.incarnation && has_proof();
-    // Its lease has ended while the reply to one of its heartbeats should have kept it.
+    // The lease expired although the reply to one of its heartbeats should have renewed it.
     if (lost_lease && was_replied_to && now < lease_would_end_at_) lease_lapsed_ = true;
     newest_proven_ = position;
     token_ = heartbeat.token;
@@ -52,7 +52,8 @@
     newest_proven_ = position;
     newest_heartbeat_ = {};
     token_ = heartbeat.token;
-    // Copies from its former incarnation may have higher numbers: heartbeats must echo a new token.
+    // Copies from its former incarnation may have higher sequence numbers, so heartbeats must echo
+    // a new token.
     own_token_floor_ = last_issued_token_ + 1;
     lease_lapsed_ = incarnation_uncertain_ = false;
     replied_incarnation_ = 0;
@@ -61,16 +62,15 @@
 EvidenceFreshness WorkerChannel::on_heartbeat(const wire::Heartbeat& heartbeat,
                                               const HeartbeatArrival& arrival, Millis now) {
     const MessagePosition position{heartbeat.incarnation, heartbeat.sequence};
-    // A worker has one heartbeat in flight: once it has sent a later one, it drops the reply to
-    // this one.
+    // A worker has one heartbeat in flight at a time. Once it has sent a later one, it drops the
+    // reply to this one.
     if (position <= newest_heartbeat_) return EvidenceFreshness::duplicate;
-    note_heard(now);
-    // The tokens that a worker has seen only rise while it lives: a later message with a lower one
-    // is of another incarnation, an earlier or a later one.
+    note_heartbeat(now);
+    // The highest token seen by a worker process never decreases. A later message with a lower
+    // token is therefore from another incarnation, either an earlier or a later one.
     if (has_proof() && position > newest_proven_ && heartbeat.token < token_)
         incarnation_uncertain_ = true;
-    if (!made_under_own_token(heartbeat) || incarnation_uncertain_)
-        return EvidenceFreshness::unordered;
+    if (!echoes_own_token(heartbeat) || incarnation_uncertain_) return EvidenceFreshness::unordered;
     newest_heartbeat_ = position;
     if (arrival.follows_reply) {
         note_reached(arrival.arrived_at);
@@ -91,7 +91,8 @@
     note_reached(sent_at);
     commands_lost_since_ = 0;
     if (replies_only_since_ == 0) replies_only_since_ = now;
-    // Made after the command was sent, and yet not beyond what was known then: it has restarted.
+    // The reply was made after the command was sent but is not later than the newest position known
+    // at that time, so the worker has restarted.
     if (position <= newest_known || incarnation_uncertain_) {
         accept_new_incarnation(heartbeat, position);
         return EvidenceFreshness::new_incarnation;
@@ -121,12 +122,13 @@
 
 Reachability WorkerChannel::reachability(Millis timeout, Millis now) const {
     if (!lease_lapsed_ && now - reached_at_ <= timeout) {
-        // It was reached although commands were lost, so by replies alone.
+        // Commands were lost, so only replies have reached it.
         const bool no_commands = commands_lost_since_ != 0 && now - commands_lost_since_ > timeout;
         return no_commands ? Reachability::replies_only : Reachability::reachable;
     }
-    const bool heard_since = heartbeat_at_ > reached_at_ + timeout;
-    return heard_since || lease_lapsed_ ? Reachability::outbound_only : Reachability::unresponsive;
+    const bool heartbeat_since = heartbeat_at_ > reached_at_ + timeout;
+    return heartbeat_since || lease_lapsed_ ? Reachability::outbound_only
+                                            : Reachability::unresponsive;
 }
 
 }  // namespace nickelramp::machines
