--- a/src/failure/failure_detector.cpp
+++ b/src/failure/failure_detector.cpp
@@ -13,8 +13,8 @@
 using machines::Machine;
 
 namespace {
-// The cloud's list lags behind: it may show the cloud as it was at most so many lags, and this
-// margin, before it was asked for.
+// The cloud's instance list is stale: it may show the state at most this many list lags plus this
+// margin before the request.
 constexpr double kMaxListLags = 3;
 constexpr Millis kListMargin = 2'000;
 }  // namespace
@@ -42,8 +42,7 @@
     std::vector<peers::Status::LostZone> lost;
     for (Index zone = 0; zone < cluster_.zones().size(); ++zone) {
         if (!domains_.is_lost(zone)) continue;
-        // The machines that were missed first had sent their last heartbeat about an interval
-        // before.
+        // The first machines to be missed had sent their last heartbeat about one interval before.
         const Millis since =
             domains_.zone(zone).healthy_until() - seconds(term_.settings().heartbeat_interval_s);
         lost.push_back({cluster_.zones().name(zone),
@@ -52,12 +51,12 @@
     return lost;
 }
 
-// A single machine that does not answer is likelier dead than not. Where many do not, their tasks
-// may well run on, and end by themselves with their leases.
+// A single unresponsive machine has probably failed. Where many machines are unresponsive, their
+// tasks may still be running, and end when their leases expire.
 void FailureDetector::consider_giving_up(Machine& machine, Millis now) {
     const Millis boot_time =
         machine.type == kNone ? 0 : seconds(cluster_.types()[machine.type].boot_s);
-    if (!domains_.may_give_up(machine.zone, describe(machine), boot_time, now)) return;
+    if (!domains_.may_declare_lost(machine.zone, describe(machine), boot_time, now)) return;
     if (machine.reachability == machines::Reachability::inbound_only && !term_.is_shard_holder())
         cluster_.drain_machine(machine, "reaches no controller", now);
     else
@@ -82,15 +81,15 @@
     return lost == inherited_lost_since_.end() ? otherwise : std::min(otherwise, lost->second);
 }
 
-// About when its tasks end by themselves: a lease after its last heartbeat with a reply, or later
-// where a partition responder may be replying to it.
+// Returns the estimated time at which its tasks end by themselves: one lease after its last
+// heartbeat with a reply, or later if a partition responder may be replying to it.
 Millis FailureDetector::likely_lease_end(const Machine& machine) const {
     return may_have_responder(machine)
                ? heartbeat_delegator_.lease_end_at_latest(machine.lease_until)
                : machine.channel.renewed_at() + seconds(term_.settings().lease_s);
 }
 
-// A controller is in the machine's zone.
+// Returns whether a controller is in the machine's zone.
 bool FailureDetector::may_have_responder(const Machine& machine) const {
     if (machine.zone == kNone) return false;
     const std::string& zone = cluster_.zones().name(machine.zone);
@@ -99,8 +98,9 @@
                        [&](const wire::Peer& controller) { return controller.zone == zone; });
 }
 
-// Replicas are on it, and each of them could be started in another zone. One that could not would
-// gain nothing from releasing the machine, which may come back with its images.
+// Returns whether the machine runs replicas and each of them could be started in another zone.
+// Releasing the machine would not help a replica that could not, and the machine may become
+// reachable again with its images.
 bool FailureDetector::all_replicas_movable(const Machine& machine) const {
     bool has_replicas = false;
     for (const Attempt* attempt : machine.attempts) {
@@ -111,12 +111,12 @@
     return has_replicas;
 }
 
-// Whether the task could be started in another zone.
+// Returns whether the task could be started in another zone.
 bool FailureDetector::is_movable(const Machine& machine, const Attempt& attempt) const {
     const Job& job = cluster_.job_of(attempt);
     if (!attempt.live() || job.zone != kNone || job.state != jobs::JobState::open) return false;
     if (!job.spec.spread || job.spec.tasks < 2) return true;
-    // A job that is spread has at most half of its tasks in one zone.
+    // A spread job has at most half of its tasks, rounded up, in one zone.
     const std::uint32_t max_in_zone = (job.spec.tasks + 1) / 2;
     const std::vector<std::uint32_t> live_tasks = cluster_.live_tasks_by_zone(job);
     for (Index zone = 0; zone < live_tasks.size(); ++zone) {
@@ -126,18 +126,19 @@
     return false;
 }
 
-// Whether the cloud listed the machine, or would have, before that time.
+// Returns whether the cloud listed the machine before that time, or would have listed it.
 bool FailureDetector::listed_before(const Machine& machine, Millis time) const {
     if (machine.first_listed_at != 0 && machine.first_listed_at < time) return true;
-    // A machine that only a job's checkpoint names existed before that was read, if it exists at
-    // all. If it went under an earlier leader, its tasks would wait for three leases.
+    // A machine that is known only from a job's checkpoint existed before the checkpoint was read,
+    // if at all. If it was released under an earlier leader and not treated as missing, its tasks
+    // would wait for three leases.
     const bool from_checkpoint =
         machine.state == machines::MachineState::booting && !machine.attempts.empty();
     return from_checkpoint && machine.provisioned_at < time;
 }
 
-// A machine stays listed until it is gone. One that was listed so long ago that this list certainly
-// shows a later moment, and that is not in it, was taken by the cloud.
+// A machine stays listed until it is gone. If this list certainly shows a later state than the one
+// in which the machine was listed, and lacks the machine, then the machine no longer exists.
 void FailureDetector::check_missing_instances(const std::vector<wire::CloudInstance>& instances,
                                               Millis asked_at, Millis now) {
     const auto& unresponsive = cluster_.unresponsive_machines();
@@ -146,15 +147,16 @@
     std::unordered_set<std::string_view> listed;
     for (const wire::CloudInstance& instance : instances) listed.insert(instance.id);
     const Millis list_lag = seconds(kMaxListLags * term_.settings().cloud_list_lag_s);
-    const Millis shows_at_least = asked_at - with_clock_drift(list_lag) - kListMargin;
+    const Millis earliest_list_state_at = asked_at - with_clock_drift(list_lag) - kListMargin;
     std::vector<Machine*> missing;
     const auto add_if_missing = [&](Index index) {
         Machine* machine = cluster_.machine_by_index(index);
-        if (listed_before(*machine, shows_at_least) && listed.count(machine->name) == 0)
+        if (listed_before(*machine, earliest_list_state_at) && listed.count(machine->name) == 0)
             missing.push_back(machine);
     };
     for (const Index index : unresponsive) add_if_missing(index);
-    // A new leader's first list may show what its predecessor released: no work is to wait for it.
+    // A new leader's first list may show machines that its predecessor released. No work may wait
+    // for them.
     for (const Index index : provisioning) {
         if (unresponsive.count(index) == 0) add_if_missing(index);
     }
--- a/src/failure/failure_detector.h
+++ b/src/failure/failure_detector.h
@@ -1,6 +1,6 @@
 /// @file
-/// Unresponsive machines, one by one and many at once: counts them by failure domain and does to
-/// the cluster state what the domains' health allows.
+/// Detection of failed machines: counts unresponsive machines by failure domain, and drains or
+/// releases them in the cluster state as the health of their domain permits.
 #pragma once
 #include <map>
 #include <string>
@@ -14,16 +14,17 @@
 
 namespace nickelramp::failure {
 
-/// Decides when an unresponsive machine is given up, and which zones are lost.
+/// Decides when an unresponsive machine is declared lost, and which zones are lost.
 ///
-/// Guarantees: outside healthy zones machines are given up at a limited rate, and in a lost zone,
-/// unless their gangs are broken or their replicas better start elsewhere, only a boot time after
-/// their leases end. A machine that the cloud does not list any more is gone at once.
+/// Guarantees: outside healthy zones machines are declared lost at a limited rate. In a lost zone a
+/// machine is declared lost only one boot time after its lease ends, unless it has members of
+/// broken gangs, or replicas that should start elsewhere before their lease ends. A machine that
+/// the cloud no longer lists is removed at once.
 ///
-/// Called by the control loop on ticks, by its checks of machines and with the cloud's lists;
-/// the autoscaler, the drain planner and the command sender ask which zones are lost. Runs on the
-/// one loop thread; times are milliseconds of the steady clock. Lives as long as its term; the
-/// constructor's arguments must outlive it.
+/// Called by the control loop on ticks, on machine checks and when the cloud's instance list
+/// arrives. The autoscaler, the drain planner and the command sender query which zones are lost.
+/// Runs on the single loop thread; times are milliseconds of the steady clock. Lives as long as its
+/// term; the constructor's arguments must outlive it.
 class FailureDetector {
   public:
     FailureDetector(const cluster::TermContext& term, cluster::ClusterState& cluster,
@@ -33,39 +34,40 @@
           heartbeat_delegator_(heartbeat_delegator),
           domains_(term.settings().heartbeat_interval_s, term.settings().lease_s) {}
 
-    /// So many machines more or fewer are up in the zone, and unresponsive of them.
+    /// Adds to the zone's counts of machines that are up and of unresponsive ones among them.
     void adjust_counts(Index zone, int up, int unresponsive) {
         domains_.adjust_counts(zone, up, unresponsive);
     }
-    /// Updates the health of all domains. Machines of a zone that is lost from now on are suspected
-    /// until they are heard again, and nothing is placed on them.
+    /// Updates the health of all domains. When a zone becomes lost, its machines are suspected, and
+    /// get no tasks, until a heartbeat is received.
     void update(Millis now);
-    /// Whether neither new work nor new machines are of use in the zone.
+    /// Returns whether the zone is lost, so that it gets neither new work nor new machines.
     [[nodiscard]] bool is_lost(Index zone) const { return domains_.is_lost(zone); }
     [[nodiscard]] bool is_healthy(Index zone) const {
         return domains_.health(zone) == DomainHealth::healthy;
     }
-    /// Whether most machines of every zone are unresponsive: this controller is likelier to be cut
-    /// off than they are.
+    /// Returns whether most machines of every zone are unresponsive. Then this controller is more
+    /// likely to be partitioned than the machines are.
     [[nodiscard]] bool all_mostly_unresponsive() const {
         return domains_.all_mostly_unresponsive();
     }
 
-    /// The machine has not answered for long enough to be given up if it were the only one: drains
-    /// or releases it if its domain allows that now.
+    /// Drains or releases a machine if its domain permits that now. The machine must have been
+    /// unresponsive for long enough to be declared lost if it were the only one.
     void consider_giving_up(machines::Machine& machine, Millis now);
-    /// Removes machines that are missing from a list of the cloud's, if the list is certainly newer
-    /// than their last listing.
-    /// @param asked_at when the list was asked for.
+    /// Removes machines that are missing from the cloud's instance list, if the list is certainly
+    /// newer than the one that showed them.
+    /// @param asked_at when the list was requested.
     void check_missing_instances(const std::vector<wire::CloudInstance>& instances, Millis asked_at,
                                  Millis now);
 
-    /// The leader before this one had lost the zone and not heard its machines since then.
+    /// Records that the zone was lost for the previous leader, which received no heartbeats from it
+    /// since `since`.
     void expect_lost_zone(Index zone, Millis since) { inherited_lost_since_[zone] = since; }
-    /// When the zone's machines were last reached, as far as is known: `otherwise`, or earlier if
-    /// the leader before this one had lost the zone.
+    /// Returns when the zone's machines were last reached, as far as is known: `otherwise`, or
+    /// earlier if the zone was lost for the previous leader.
     [[nodiscard]] Millis expected_recovery_by(Index zone, Millis otherwise) const;
-    /// The zones that are lost, for the next leader.
+    /// Returns the zones that are lost, to be reported to the next leader.
     [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const;
 
   private:
@@ -82,7 +84,7 @@
     cluster::ClusterState& cluster_;
     const partition::HeartbeatDelegator& heartbeat_delegator_;
     FailureDomains domains_;
-    std::map<Index, Millis> inherited_lost_since_;  // by zone, as the leader before this one saw it
+    std::map<Index, Millis> inherited_lost_since_;  // by zone, from the previous leader
 };
 
 }  // namespace nickelramp::failure
--- a/src/failure/failure_domains.cpp
+++ b/src/failure/failure_domains.cpp
@@ -5,26 +5,28 @@
 namespace nickelramp::failure {
 
 namespace {
-// More machines at once than this, and more than this part of the domain, do not fail by
-// themselves.
+// At least this many machines and this fraction of the domain do not fail independently at the
+// same time.
 constexpr std::size_t kFewMachines = 4;
-constexpr double kFewPart = 0.04;
-// A machine sends a heartbeat every few seconds and is given up a few seconds later: when the first
-// machine of a domain that was cut off could be given up, this part of the domain is overdue.
-constexpr double kManyPart = 0.3;
-// Fewer machines than this say nothing of their domain.
+constexpr double kFewFraction = 0.04;
+// A machine sends a heartbeat every few seconds and may be declared lost a few seconds after a
+// missing one. When the first machine of an unreachable domain may be declared lost, the heartbeats
+// of at least this fraction of the domain are overdue.
+constexpr double kManyFraction = 0.3;
+// With fewer machines no conclusion about their domain is drawn.
 constexpr std::size_t kMinDomainSize = 3;
-// Few machines must be unresponsive for so long before each is judged by itself again.
+// How long few machines must be unresponsive before a degraded domain is healthy again.
 constexpr Millis kTimeToHealthy = 2'000;
-// Of a domain's machines, in a second; one machine at the least.
-constexpr double kGiveUpPart = 0.02;
-constexpr double kMinGiveUpRate = 1.0;
-constexpr double kMaxBudgetSeconds = 2;  // seconds' worth of the rate that may be saved up
-constexpr double kPrice = 1;
-// Moving replicas is cheaper: little is lost so late before their lease ends.
+// Fraction of a domain's machines that may be declared lost per second, and the minimum in machines
+// per second.
+constexpr double kDeclareLostFraction = 0.02;
+constexpr double kMinDeclareLostRate = 1.0;
+constexpr double kMaxBudgetSeconds = 2;  // maximum budget, in seconds of the rate
+constexpr double kPrice = 1;             // budget used by declaring a machine lost
+// Moving replicas is cheaper, since little is lost this shortly before their lease ends.
 constexpr double kMovePrice = 0.4;
 constexpr Millis kMoveBeforeLeaseEnd = 12'000;
-// Heartbeats that come in again do so within this many intervals.
+// Machines that respond again after a loss do so within this many heartbeat intervals.
 constexpr double kSettleIntervals = 2.5;
 
 bool is_majority(std::size_t part, std::size_t all) { return part * 2 > all; }
@@ -50,14 +52,15 @@
 
 bool FailureDomain::few_unresponsive() const {
     return unresponsive_count_ < kFewMachines ||
-           static_cast<double>(unresponsive_count_) < kFewPart * static_cast<double>(up_count_);
+           static_cast<double>(unresponsive_count_) < kFewFraction * static_cast<double>(up_count_);
 }
 
 bool FailureDomain::many_unresponsive() const {
     if (up_count_ < kMinDomainSize) return false;
     if (mostly_unresponsive()) return true;
     return unresponsive_count_ >= kFewMachines &&
-           static_cast<double>(unresponsive_count_) >= kManyPart * static_cast<double>(up_count_);
+           static_cast<double>(unresponsive_count_) >=
+               kManyFraction * static_cast<double>(up_count_);
 }
 
 void FailureDomain::set_health(DomainHealth health, Millis now) {
@@ -102,28 +105,29 @@
     }
 }
 
-double FailureDomain::give_up_rate() const {
-    return std::max(kMinGiveUpRate, kGiveUpPart * static_cast<double>(up_count_));
+double FailureDomain::declare_lost_rate() const {
+    return std::max(kMinDeclareLostRate, kDeclareLostFraction * static_cast<double>(up_count_));
 }
 
 void FailureDomain::refill_budget(Millis now) {
-    const double rate = give_up_rate();
+    const double rate = declare_lost_rate();
     if (refilled_at_ != 0)
-        give_up_budget_ += rate * static_cast<double>(now - refilled_at_) / 1000.0;
-    give_up_budget_ = std::min(give_up_budget_, kMaxBudgetSeconds * rate);
+        declare_lost_budget_ += rate * static_cast<double>(now - refilled_at_) / 1000.0;
+    declare_lost_budget_ = std::min(declare_lost_budget_, kMaxBudgetSeconds * rate);
     refilled_at_ = now;
 }
 
 bool FailureDomain::take_budget(BudgetClass budget_class, double price) {
     const double needed = budget_class == BudgetClass::preferred
                               ? kPrice
-                              : std::max(kPrice, kMaxBudgetSeconds * give_up_rate() / 2);
-    if (give_up_budget_ < needed) return false;
-    give_up_budget_ -= price;
+                              : std::max(kPrice, kMaxBudgetSeconds * declare_lost_rate() / 2);
+    if (declare_lost_budget_ < needed) return false;
+    declare_lost_budget_ -= price;
     return true;
 }
 
-bool FailureDomain::may_give_up(const UnresponsiveMachine& machine, Millis boot_time, Millis now) {
+bool FailureDomain::may_declare_lost(const UnresponsiveMachine& machine, Millis boot_time,
+                                     Millis now) {
     if (health_ == DomainHealth::healthy) return true;
     refill_budget(now);
     if (machine.stuck) return take_budget(BudgetClass::preferred, kPrice);
@@ -132,11 +136,11 @@
             machine.has_gangs_or_services ? BudgetClass::preferred : BudgetClass::ordinary;
         return take_budget(budget_class, kPrice);
     }
-    // Tasks there run on until their lease ends: by then their replacements should run elsewhere.
+    // Tasks there run until their lease expires. Replacements should run elsewhere by then.
     if (health_ == DomainHealth::lost && machine.has_movable_replicas &&
         now > machine.lease_until - kMoveBeforeLeaseEnd)
         return take_budget(BudgetClass::preferred, kMovePrice);
-    // A machine that answers again sooner than another boots is worth keeping.
+    // A machine that responds again before a replacement has booted is worth keeping.
     return now > machine.lease_until + boot_time && take_budget(BudgetClass::ordinary, kPrice);
 }
 
@@ -174,12 +178,12 @@
     return zone < zones_.size() && zones_[zone].health() == DomainHealth::lost;
 }
 
-bool FailureDomains::may_give_up(Index zone, const UnresponsiveMachine& machine, Millis boot_time,
-                                 Millis now) {
-    const bool judged_alone =
+bool FailureDomains::may_declare_lost(Index zone, const UnresponsiveMachine& machine,
+                                      Millis boot_time, Millis now) {
+    const bool zone_unhealthy =
         zone < zones_.size() && zones_[zone].health() != DomainHealth::healthy;
-    FailureDomain& domain = judged_alone ? zones_[zone] : healthy_zones_combined_;
-    return domain.may_give_up(machine, boot_time, now);
+    FailureDomain& domain = zone_unhealthy ? zones_[zone] : healthy_zones_combined_;
+    return domain.may_declare_lost(machine, boot_time, now);
 }
 
 bool FailureDomains::all_mostly_unresponsive() const {
--- a/src/failure/failure_domains.h
+++ b/src/failure/failure_domains.h
@@ -1,7 +1,7 @@
 /// @file
-/// Failure domains: when many machines stop answering together, the cause is rarely the machines.
-/// Takes counts and time, and says which machines may be given up. A domain is a zone, or all
-/// machines of a cluster state together (of a shard holder's: its shard).
+/// Failure domains: when many machines become unresponsive together, the cause is rarely the
+/// machines themselves. From machine counts and time, decides which machines may be declared lost.
+/// A domain is a zone, or all machines of a cluster state (for a shard holder: of its shard).
 ///
 /// Nothing here reads a clock or does I/O; times are milliseconds of the steady clock.
 #pragma once
@@ -15,32 +15,31 @@
 
 /// The health of a failure domain.
 enum class DomainHealth {
-    healthy,    ///< few machines are unresponsive; each is judged by itself
-    degraded,   ///< more than fail by themselves; giving them up is rate limited
-    lost,       ///< so many that the network to them is likelier to have failed than they are:
-                ///< nothing is given up while its lease may last, and new work and new machines go
-                ///< to other domains
-    recovering  ///< heartbeats come in again after that; the others have time to follow
+    healthy,    ///< few machines are unresponsive; each one is treated separately
+    degraded,   ///< more than fail independently; declaring them lost is rate limited
+    lost,       ///< so many that a network failure is more likely than machine failures: in
+                ///< general no machine is declared lost while its lease may last, and new work and
+                ///< new machines go to other domains
+    recovering  ///< heartbeats arrive again after a loss; the remaining machines get time to follow
 };
 [[nodiscard]] const char* name(DomainHealth health);
 
-/// What is known of an unresponsive machine when it could be given up.
+/// Properties of an unresponsive machine that decide whether it may be declared lost.
 struct UnresponsiveMachine {
-    bool stuck = false;  ///< its tasks make no progress: other members of their gangs have ended
-    bool has_gangs_or_services = false;  ///< gangs or replicas are on it, not arrays alone
-    bool has_movable_replicas =
-        false;               ///< replicas are on it, and all could start in other domains
-    Millis lease_until = 0;  ///< about when its tasks end by themselves
+    bool stuck = false;  ///< its tasks make no progress, as other members of their gangs ended
+    bool has_gangs_or_services = false;  ///< it runs gang members or replicas, not only arrays
+    bool has_movable_replicas = false;   ///< it runs replicas, and all could start in other domains
+    Millis lease_until = 0;  ///< estimated time at which its tasks end because its lease expires
 };
 
 /// One failure domain: the counts of its machines, its health, and the rate at which its machines
-/// may be given up.
+/// may be declared lost.
 class FailureDomain {
   public:
-    /// @param settle_time how long after a loss machines may take to answer again.
+    /// @param settle_time how long after a loss machines may take to respond again.
     explicit FailureDomain(Millis settle_time) : settle_time_(settle_time) {}
 
-    /// Changes the counts of machines that are up, and of those among them that are unresponsive.
+    /// Adds to the count of machines that are up, and to the count of unresponsive ones among them.
     void adjust_counts(int up, int unresponsive) {
         up_count_ += static_cast<std::size_t>(up);
         unresponsive_count_ += static_cast<std::size_t>(unresponsive);
@@ -49,33 +48,34 @@
         up_count_ = up;
         unresponsive_count_ = unresponsive;
     }
-    /// Moves to the health that follows from the counts and the time.
+    /// Updates the health from the counts and the time.
     /// @return whether the health changed.
     bool update(Millis now);
     [[nodiscard]] DomainHealth health() const { return health_; }
-    /// When the domain was last healthy; 0 if it has always been.
+    /// Returns when the domain was last healthy; 0 if it has always been healthy.
     [[nodiscard]] Millis healthy_until() const { return healthy_until_; }
     [[nodiscard]] std::size_t up_count() const { return up_count_; }
     [[nodiscard]] std::size_t unresponsive_count() const { return unresponsive_count_; }
-    /// More than half, of at least three machines.
+    /// Returns whether more than half of the machines are unresponsive, of at least three.
     [[nodiscard]] bool mostly_unresponsive() const;
 
-    /// Whether this machine may be given up now. If so, that counts against the domain's rate.
-    /// @param boot_time how long another machine takes to boot: it is waited for that much longer.
-    [[nodiscard]] bool may_give_up(const UnresponsiveMachine& machine, Millis boot_time,
-                                   Millis now);
+    /// Returns whether this machine may be declared lost now. If so, it counts towards the domain's
+    /// rate limit.
+    /// @param boot_time how long a replacement takes to boot; a machine is kept that much longer.
+    [[nodiscard]] bool may_declare_lost(const UnresponsiveMachine& machine, Millis boot_time,
+                                        Millis now);
 
   private:
-    /// Who may use what part of the budget.
+    /// Which part of the budget a machine may use.
     enum class BudgetClass {
-        preferred,  ///< gains most by being given up: may use all of it
-        ordinary,   ///< leaves half of what can be saved up to the preferred
+        preferred,  ///< declaring it lost helps most: may use the whole budget
+        ordinary,   ///< must leave half of the maximum budget to preferred machines
     };
 
     [[nodiscard]] bool few_unresponsive() const;
     [[nodiscard]] bool many_unresponsive() const;
-    /// Machines that may be given up in one second.
-    [[nodiscard]] double give_up_rate() const;
+    /// Returns how many machines may be declared lost per second.
+    [[nodiscard]] double declare_lost_rate() const;
     void set_health(DomainHealth health, Millis now);
     void update_degraded(Millis now);
     void refill_budget(Millis now);
@@ -85,36 +85,37 @@
     DomainHealth health_ = DomainHealth::healthy;
     Millis health_since_ = 0;
     Millis healthy_until_ = 0;
-    Millis few_unresponsive_since_ = 0;  // while degraded; 0: not few
+    Millis few_unresponsive_since_ = 0;  // while degraded; 0: more than few are
     std::size_t up_count_ = 0;
     std::size_t unresponsive_count_ = 0;
-    double give_up_budget_ = 0;  // in machines
-    Millis refilled_at_ = 0;     // 0: never
+    double declare_lost_budget_ = 0;  // in machines
+    Millis refilled_at_ = 0;          // 0: never
 };
 
-/// All domains of one cluster state: its zones, and those zones together that are healthy by
-/// themselves, since a few machines of each zone may be many of all.
+/// All domains of one cluster state: each zone, and the combination of all healthy zones, since a
+/// few machines of each zone may be many machines in total.
 ///
 /// Owned and called by FailureDetector.
 class FailureDomains {
   public:
     FailureDomains(double heartbeat_interval_s, double lease_s);
 
-    /// Changes a zone's counts. Zones are added as they are named.
+    /// Adds to a zone's counts. Zones are created on first use.
     void adjust_counts(Index zone, int up, int unresponsive);
-    /// @return the zones whose health changed; kNone stands for the healthy zones together.
+    /// @return the zones whose health changed; kNone stands for the combined healthy zones.
     std::vector<Index> update(Millis now);
-    /// The zone's health; if it is healthy by itself, that of the healthy zones together.
+    /// Returns the zone's health or, if the zone is healthy, that of the combined healthy zones.
     [[nodiscard]] DomainHealth health(Index zone) const;
-    /// Whether neither new work nor new machines are of use in the zone.
+    /// Returns whether the zone is lost, so that it gets neither new work nor new machines.
     [[nodiscard]] bool is_lost(Index zone) const;
-    /// FailureDomain::may_give_up of the zone, or of the healthy zones together.
-    [[nodiscard]] bool may_give_up(Index zone, const UnresponsiveMachine& machine, Millis boot_time,
-                                   Millis now);
-    /// Whether most machines of every zone are unresponsive: this controller is likelier to be cut
-    /// off than they are.
+    /// Calls FailureDomain::may_declare_lost of the zone or, if it is healthy, of the combined
+    /// healthy zones.
+    [[nodiscard]] bool may_declare_lost(Index zone, const UnresponsiveMachine& machine,
+                                        Millis boot_time, Millis now);
+    /// Returns whether most machines of every zone are unresponsive. Then this controller is more
+    /// likely to be partitioned than the machines are.
     [[nodiscard]] bool all_mostly_unresponsive() const;
-    /// The zone, or the healthy zones together for kNone and zones without machines.
+    /// Returns the zone, or the combined healthy zones for kNone and for zones without machines.
     [[nodiscard]] const FailureDomain& zone(Index zone) const {
         return zone < zones_.size() ? zones_[zone] : healthy_zones_combined_;
     }
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -50,7 +50,7 @@
                       (unresponsive * 2 > up || (unresponsive >= 4 && unresponsive >= 0.3 * up)));
             if (health == DomainHealth::healthy) {
                 unhealthy_since = given_up = 0;
-                RC_ASSERT(domains.may_give_up(0, {}, 0, now));
+                RC_ASSERT(domains.may_declare_lost(0, {}, 0, now));
                 continue;
             }
             if (unhealthy_since == 0) unhealthy_since = now;
@@ -59,7 +59,7 @@
                 machine.stuck = i % 7 == 0;
                 machine.has_gangs_or_services = i % 2 == 0;
                 machine.lease_until = now + 20'000;
-                const bool allowed = domains.may_give_up(0, machine, 10'000, now);
+                const bool allowed = domains.may_declare_lost(0, machine, 10'000, now);
                 given_up += allowed ? 1 : 0;
                 test::test_trace().add(now, "give-up", allowed);
                 if (health == DomainHealth::lost) RC_ASSERT(!allowed || machine.stuck);
@@ -81,11 +81,11 @@
     replicas.has_movable_replicas = true;
     replicas.lease_until = arrays.lease_until = 40'000;
     const Millis boot = 60'000;
-    EXPECT_FALSE(domain.may_give_up(replicas, boot, 20'000));
-    EXPECT_TRUE(domain.may_give_up(replicas, boot, 30'000));
+    EXPECT_FALSE(domain.may_declare_lost(replicas, boot, 20'000));
+    EXPECT_TRUE(domain.may_declare_lost(replicas, boot, 30'000));
     // Array tasks end with their leases by themselves; the machine may come back with its images.
-    EXPECT_FALSE(domain.may_give_up(arrays, boot, 99'000));
-    EXPECT_TRUE(domain.may_give_up(arrays, boot, 101'000));
+    EXPECT_FALSE(domain.may_declare_lost(arrays, boot, 99'000));
+    EXPECT_TRUE(domain.may_declare_lost(arrays, boot, 101'000));
 }
 
 TEST(FailureDetector, ALeaderIsIsolatedOnlyIfNoZoneAnswers) {
