--- a/src/partition/heartbeat_delegator.cpp
+++ b/src/partition/heartbeat_delegator.cpp
@@ -8,7 +8,7 @@
 namespace nickelramp::partition {
 
 namespace {
-constexpr Millis kLeaseEndMargin = 1'000;  // for timers and the way of a message
+constexpr Millis kLeaseEndMargin = 1'000;  // covers timers and network delay
 }  // namespace
 
 Millis HeartbeatDelegator::lease_end_after_reply(Millis replied_at) const {
@@ -19,7 +19,7 @@
     return lease_end_after_reply(view + with_clock_drift(longest_response_window(settings_)));
 }
 
-// The process that was there before may have replied, and cannot report it any more.
+// The previous process of the peer may have sent replies, which it can no longer report.
 void HeartbeatDelegator::forget_process(Entry& entry, Millis now) {
     if (entry.view != 0) departed_views_.push_back(entry.view);
     std::erase_if(departed_views_, [&](Millis view) { return now > lease_end_after_view(view); });
@@ -37,8 +37,8 @@
     entry.last_status_at = now;
     entry.confirms_cancellations = status.confirms_cancellations != 0;
     if (status.delegation_term == term) {
-        // The peer had that delegation when it sent this, so it sent this after the leader sent the
-        // delegation.
+        // The peer had received that delegation when it sent this status, so all replies sent
+        // before the delegation are reported in the status.
         const auto delegation_sent_at = static_cast<Millis>(status.delegation_clock_ms);
         entry.no_replies_until = std::max(entry.no_replies_until, delegation_sent_at);
     }
@@ -88,7 +88,7 @@
     }
     Millis latest_end = known_end;
     for (const auto& [peer, entry] : peers_) {
-        // A responder that had not replied until the lease expired cannot have renewed it.
+        // A responder that sent no replies before the lease expired cannot have renewed it.
         if (entry.view != 0 && entry.no_replies_until < known_end)
             latest_end = std::max(latest_end, lease_end_after_view(entry.view));
     }
--- a/src/partition/partition_responder.cpp
+++ b/src/partition/partition_responder.cpp
@@ -9,24 +9,24 @@
 namespace nickelramp::partition {
 
 namespace {
-// The leader sends something every second, and the state service answers a watch every five.
+// The leader sends a message every second; the state service answers a watch every five seconds.
 constexpr Millis kLeaderTimeout = 3'000;
 constexpr Millis kStateServiceTimeout = 6'500;
-// Longer partitions are rare, and so much longer must be waited before a lease is known to have
+// Longer partitions are rare, and a longer window delays the time at which a lease is known to have
 // expired.
 constexpr double kLongestWindowInLeases = 2;
-// Rounding, timers and the way of a message.
+// Cover rounding, timers and network delay.
 constexpr Millis kResponseMargin = 1'500;
 constexpr Millis kLeaseEndMargin = 1'000;
 constexpr std::size_t kMaxChannels = 20'000;
-// A token for WorkerChannel that proves nothing: it is below all that a leader grants.
-constexpr std::uint64_t kNoOwnToken = 1;
+// A token for WorkerChannel that is lower than any token granted by a leader.
+constexpr std::uint64_t kTokenBelowGrants = 1;
 
-std::uint64_t without_raises(std::uint64_t token) { return token >> shards::kGrantShift; }
+std::uint64_t grant_of(std::uint64_t token) { return token >> shards::kGrantShift; }
 }  // namespace
 
 Millis max_response_bound(const wire::Settings& settings) {
-    // The worker's clock may be the slower one: its lease then lasts a little longer than by ours.
+    // The worker's clock may be slower, so that its lease lasts longer by this clock.
     const Millis until_cancelled = without_clock_drift(seconds(settings.cancel_s));
     const Millis lease = with_clock_drift(seconds(settings.lease_s));
     return std::max<Millis>(0, until_cancelled - lease - kResponseMargin);
@@ -65,8 +65,8 @@
     state_ = state;
 }
 
-// The age of the leader's knowledge is counted from when the status that the delegation answers
-// was sent, so the delegation expires here no later than the leader believes.
+// The age of the leader's view is counted from the sending of the status that the delegation
+// answers, so the delegation expires here no later than the leader assumes.
 void PartitionResponder::on_delegation(const peers::HeartbeatDelegation& delegation,
                                        std::uint64_t incarnation, Millis now) {
     const auto status_sent_at = static_cast<Millis>(delegation.status_clock_ms);
@@ -80,32 +80,34 @@
     delegation_ = delegation;
 }
 
-void PartitionResponder::update(Millis leader_heard_at, Millis state_service_heard_at, Millis now) {
+void PartitionResponder::update(Millis last_leader_message_at, Millis last_state_service_answer_at,
+                                Millis now) {
     const Millis window = without_clock_drift(static_cast<Millis>(delegation_.response_window_ms));
     if (delegation_.term == 0 || now - cancellations_known_until_ > window)
         return set_state(PartitionState::no_delegation);
-    const bool alone = now - leader_heard_at > kLeaderTimeout &&
-                       now - state_service_heard_at > kStateServiceTimeout;
+    const bool alone = now - last_leader_message_at > kLeaderTimeout &&
+                       now - last_state_service_answer_at > kStateServiceTimeout;
     set_state(alone ? PartitionState::responding : PartitionState::standby);
 }
 
-// The heartbeat's token is of a grant that was the leader's when it sent the delegation.
+// Returns whether the heartbeat's token is of a grant that the leader itself held when it sent the
+// delegation.
 bool PartitionResponder::is_delegated(std::uint64_t token) const {
     if (shards::term_of(token) != delegation_.term) return false;
-    const std::uint64_t grant = without_raises(token);
-    if (grant > without_raises(delegation_.highest_token)) return false;
+    const std::uint64_t grant = grant_of(token);
+    if (grant > grant_of(delegation_.highest_token)) return false;
     return std::none_of(
         delegation_.delegated_tokens.begin(), delegation_.delegated_tokens.end(),
-        [&](std::uint64_t of_holder) { return grant == without_raises(of_holder); });
+        [&](std::uint64_t holder_token) { return grant == grant_of(holder_token); });
 }
 
-// Null if there are too many.
+// Returns null if there are too many channels.
 machines::WorkerChannel* PartitionResponder::channel_of(const std::string& machine, Millis now) {
     auto entry = channels_.find(machine);
     if (entry == channels_.end()) {
         if (channels_.size() >= kMaxChannels) return nullptr;
         entry = channels_.emplace(machine, machines::WorkerChannel{}).first;
-        entry->second.take_control(kNoOwnToken, now);
+        entry->second.take_control(kTokenBelowGrants, now);
     }
     return &entry->second;
 }
@@ -116,22 +118,22 @@
     if (!is_delegated(heartbeat.token)) return std::nullopt;
     machines::WorkerChannel* channel = channel_of(heartbeat.machine, now);
     if (channel == nullptr) return std::nullopt;
-    // The leader waits for one lease after the last of these replies: none goes out to a copy of a
-    // heartbeat, or to a worker that does not receive them.
+    // The leader waits for one lease after the last of these replies. Therefore no reply is sent to
+    // a duplicate of a heartbeat, or to a worker that does not receive replies.
     const auto evidence = channel->on_heartbeat(heartbeat, follows, now);
     if (evidence == machines::EvidenceFreshness::duplicate) return std::nullopt;
     const Millis lease = seconds(settings_.lease_s);
     if (!channel->should_reply(lease, now)) return std::nullopt;
     channel->on_reply_sent(lease, now);
     last_reply_at_ = now;
-    return heartbeat.token;  // workers drop replies with a lower one
+    return heartbeat.token;  // workers drop replies with a lower token
 }
 
 void PartitionResponder::fill_status(peers::Status& status, Millis now) const {
     status.confirms_cancellations = 1;
     status.delegation_term = delegation_.term;
     status.delegation_clock_ms = delegation_.clock_ms;
-    // 0 says that there was none.
+    // 0 means that no reply was sent.
     status.last_reply_age_ms =
         last_reply_at_ == 0 ? 0 : static_cast<std::uint64_t>(now - last_reply_at_) + 1;
 }
--- a/src/partition/partition_responder.h
+++ b/src/partition/partition_responder.h
@@ -1,9 +1,8 @@
 /// @file
-/// Replying to heartbeats inside a network partition: a controller that a partition leaves alone
-/// with its zone's machines goes on replying to them, so that what runs there keeps its leases. It
-/// starts and stops nothing. What it cannot know are cancellations later than its last message from
-/// the leader: users are told of a cancellation only when it is complete
-/// (docs/design/failure-domains.md).
+/// Replying to heartbeats inside a network partition: a controller that is partitioned together
+/// with its zone's machines keeps replying to them, so that their leases are renewed. It starts and
+/// stops no tasks. It does not learn of cancellations after its last message from the leader; users
+/// are told of a cancellation only when it is complete (docs/design/failure-domains.md).
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -18,56 +17,58 @@
 
 namespace nickelramp::partition {
 
-/// How long, in milliseconds, a controller that cannot reach the state service may go on replying
-/// to workers if users may be told of a cancellation at once: the tasks must still end within
-/// `cancel_s`.
+/// Returns how long, in milliseconds, a controller that cannot reach the state service may keep
+/// replying to workers if users may be told of a cancellation at once. The tasks must then still
+/// end within `cancel_s`.
 [[nodiscard]] Millis max_response_bound(const wire::Settings& settings);
 
-/// The same if users are told when the tasks are gone: only the wait for leases to end bounds it.
+/// Returns the same if users are told of a cancellation when the tasks have ended. The only limit is
+/// then the time that the leader must wait until a lease is known to have expired.
 [[nodiscard]] Millis longest_response_window(const wire::Settings& settings);
 
-/// By when every lease has expired that another controller may have renewed until now, whatever it
-/// knew.
+/// Returns the time by which every lease that another controller may have renewed until now has
+/// expired, whatever that controller knew.
 [[nodiscard]] Millis last_possible_lease_end(const wire::Settings& settings, Millis now);
 
-/// What a PartitionResponder does.
+/// State of a PartitionResponder.
 enum class PartitionState {
     no_delegation,  ///< it has no delegation, or the last one has expired
-    standby,        ///< it has one; the leader or the state service is heard, so it is not needed
-    responding,     ///< neither is heard: it replies to heartbeats until the delegation expires
+    standby,        ///< it has one, but the leader or the state service is reachable
+    responding,     ///< neither is reachable; it replies until the delegation expires
 };
 [[nodiscard]] const char* name(PartitionState state);
 
-/// Replies to heartbeats in the leader's name: the side of the controller that is not the leader.
+/// Replies to heartbeats on behalf of the leader, in a controller that is not the leader.
 ///
 /// Guarantees:
-/// - It replies only while it hears neither the leader nor the state service, and only within the
-///   delegation's response window, counted from the last cancellation that the leader knew of.
-/// - It replies under the token that the heartbeat carries, never where another controller has been
-///   granted the machine, or may have been since the delegation was sent.
-/// - It does not reply to copies of heartbeats, nor to workers that do not receive its replies.
+/// - It replies only while it receives messages from neither the leader nor the state service, and
+///   only within the delegation's response window, which starts at the time up to which the leader
+///   knew every cancellation.
+/// - It replies with the token that the heartbeat carries. It never replies if the machine has been
+///   granted to another controller, or may have been since the delegation was sent.
+/// - It does not reply to duplicates of heartbeats, nor to workers that do not receive its replies.
 ///
 /// Called by HeartbeatHandler (heartbeats) and the controller (delegations, status, every tick).
-/// Runs on the one loop thread; `now` is steady time in milliseconds. Lives as long as its process;
-/// the settings must outlive it.
+/// Runs on the single loop thread; `now` is steady time in milliseconds. Lives as long as its
+/// process; the settings must outlive it.
 class PartitionResponder {
   public:
     explicit PartitionResponder(const wire::Settings& settings) : settings_(settings) {}
 
-    /// Takes over a delegation from the leader. Ignored if it is for another process than the one
-    /// with this incarnation, or older than the one known.
+    /// Stores a delegation from the leader. Ignores it if it is for a process with another
+    /// incarnation, or older than the stored one.
     void on_delegation(const peers::HeartbeatDelegation& delegation, std::uint64_t incarnation,
                        Millis now);
-    /// Moves to the state that follows from when the leader and the state service were last heard.
-    void update(Millis leader_heard_at, Millis state_service_heard_at, Millis now);
-    /// The token to reply to the heartbeat with; nothing if it may not be replied to.
+    /// Updates the state from the times of the last messages from the leader and the state service.
+    void update(Millis last_leader_message_at, Millis last_state_service_answer_at, Millis now);
+    /// Returns the token for the reply to the heartbeat, or nothing if no reply is allowed.
     /// @param follows see machines::HeartbeatArrival.
     [[nodiscard]] std::optional<std::uint64_t> token_for_reply(const wire::Heartbeat& heartbeat,
                                                                bool follows, Millis now);
-    /// Adds to an outgoing status what the leader's HeartbeatDelegator must know.
+    /// Adds the fields that the leader's HeartbeatDelegator needs to an outgoing status.
     void fill_status(peers::Status& status, Millis now) const;
     [[nodiscard]] PartitionState state() const { return state_; }
-    /// The term in whose leader's name it replies; 0 if it has had no delegation.
+    /// Returns the term of the last delegation; 0 if there was none.
     [[nodiscard]] std::uint64_t term() const { return delegation_.term; }
 
   private:
@@ -78,9 +79,9 @@
     const wire::Settings& settings_;
     PartitionState state_ = PartitionState::no_delegation;
     peers::HeartbeatDelegation delegation_;
-    Millis cancellations_known_until_ = 0;  // the leader knew every cancellation up to then
+    Millis cancellations_known_until_ = 0;  // time up to which the leader knew them all
     Millis last_reply_at_ = 0;              // 0: none
-    std::unordered_map<std::string, machines::WorkerChannel> channels_;  // while it responds
+    std::unordered_map<std::string, machines::WorkerChannel> channels_;  // only while responding
 };
 
 }  // namespace nickelramp::partition
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -109,7 +109,7 @@
         struct Peer {
             std::unique_ptr<partition::PartitionResponder> responder;
             std::uint64_t incarnation = 0;
-            Millis leader_heard_at = 0;
+            Millis last_leader_message_at = 0;
             bool partitioned = false;
         };
         Peer peers[2];
@@ -136,7 +136,7 @@
                 Peer& peer = peers[event - 3];
                 peer.responder = std::make_unique<partition::PartitionResponder>(settings);
                 peer.incarnation = ++incarnations;
-                peer.leader_heard_at = 0;
+                peer.last_leader_message_at = 0;
             }
             const bool delegations_lost = event >= 5 && event < 10;
             for (int i = 0; i < 2; ++i) {
@@ -153,7 +153,7 @@
                 Peer& peer = peers[to == "holder-0" ? 0 : 1];
                 const Millis peer_now = now + 5'000 * (to == "holder-0" ? 1 : 2);
                 if (peer.partitioned || delegations_lost) continue;
-                peer.leader_heard_at = peer_now;
+                peer.last_leader_message_at = peer_now;
                 peer.responder->on_delegation(delegation, peer.incarnation, peer_now);
             }
             const bool worker_lease_expired = now >= worker_lease_until;
@@ -172,7 +172,7 @@
             for (int i = 0; i < 2; ++i) {
                 Peer& peer = peers[i];
                 const Millis peer_now = now + 5'000 * (i + 1);
-                peer.responder->update(peer.leader_heard_at, peer.leader_heard_at, peer_now);
+                peer.responder->update(peer.last_leader_message_at, peer.last_leader_message_at, peer_now);
                 ++heartbeat.sequence;
                 if (!peer.responder->token_for_reply(heartbeat, true, peer_now)) continue;
                 worker_lease_until = now + seconds(settings.lease_s);
