--- a/src/readiness/peer_health.h
+++ b/src/readiness/peer_health.h
@@ -1,5 +1,6 @@
-/// \file
-/// Tells an outage of the key-value store for all controllers from one for this controller alone.
+/// @file
+/// Distinguishes an outage of the key-value store for all controllers from an outage for this
+/// controller only.
 #pragma once
 #include <cstdint>
 
@@ -7,22 +8,24 @@
 
 namespace nickelramp::readiness {
 
-/// A controller whose last answer from the key-value store is not older than this is served, in
-/// milliseconds.
+/// Maximum age, in milliseconds, of a controller's last answer from the key-value store if the
+/// store is considered to serve it.
 inline constexpr std::uint64_t kRecentAnswerMs = 8'000;
-/// For how long the last status of a peer counts.
+/// How long the last status of a peer is valid.
 inline constexpr Millis kPeerStatusLifetime = 2'500;
-/// How long the key-value store must fail this controller before that means anything.
+/// Failures of the key-value store that are shorter than this are ignored.
 inline constexpr Millis kMinOutageDuration = 1'500;
 
-/// Whether a peer's status shows that the outage is not everybody's. Only an answer that the peer
-/// got after this controller's outage began shows that: a peer that asks little has not noticed the
-/// outage yet and believes itself served. All times are of this controller's loop:
-/// `unserved_since` when its outage began, `peer_answered_at` when the peer was last answered,
-/// `peer_status_at` when the status came that says so.
+/// Returns whether a peer's status proves that the outage does not affect all controllers. Only an
+/// answer that the peer received after this controller's outage began proves that, because a peer
+/// that sends few requests may not have noticed the outage yet. All times are those of this
+/// controller's loop.
+/// @param unserved_since when this controller's outage began.
+/// @param peer_answered_at when the key-value store last answered the peer.
+/// @param peer_status_at when the status that reports this answer arrived.
 [[nodiscard]] inline bool peer_served_meanwhile(Millis unserved_since, Millis peer_answered_at,
                                                 Millis peer_status_at, Millis now) {
-    // So that an answer from the moment at which the outage began does not count.
+    // Excludes answers from the moment at which the outage began.
     constexpr Millis kMinDelay = kMinOutageDuration / 3;
     return now - peer_status_at < kPeerStatusLifetime &&
            peer_answered_at > unserved_since + kMinDelay;
--- a/src/readiness/readiness.cpp
+++ b/src/readiness/readiness.cpp
@@ -36,16 +36,16 @@
     const Millis unserved_since = rejected ? health.refused_since : health.unanswered_since;
     if (unserved_since < 0 || now - unserved_since < kMinOutageDuration)
         return ReadinessState::serving;
-    bool any_peer_heard = false;
+    bool any_peer_reachable = false;
     for (const PeerHealth& peer : peers) {
-        any_peer_heard |= now - peer.last_status_at < kPeerStatusLifetime;
+        any_peer_reachable |= now - peer.last_status_at < kPeerStatusLifetime;
         peers_served_ |=
             peer_served_meanwhile(unserved_since, peer.last_answer_at, peer.last_status_at, now);
     }
-    const bool outage_for_all = !peers_served_ && (any_peer_heard || peer_count_ == 0);
+    const bool outage_for_all = !peers_served_ && (any_peer_reachable || peer_count_ == 0);
     if (outage_for_all) return ReadinessState::outage;
-    // Some peer is served; or no peer can be heard, and then the trouble is more likely to be this
-    // controller's own.
+    // Either some peer is served, or no peer is reachable, in which case the fault is more likely
+    // to be on this controller's side.
     return rejected ? ReadinessState::rejected : ReadinessState::cut_off;
 }
 
@@ -75,7 +75,7 @@
     } else {
         next_log_at_ = now;
     }
-    // From one reason not to serve to another the time without service goes on.
+    // A change between two states that are not serving does not restart the measured duration.
     if (state == ReadinessState::serving || state_ == ReadinessState::serving) state_since_ = now;
     state_ = state;
 }
--- a/src/readiness/readiness.h
+++ b/src/readiness/readiness.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Whether this controller can serve users, and if not, why.
 #pragma once
 #include <cstddef>
@@ -11,47 +11,50 @@
 
 /// starting: the machine types are not known yet
 /// serving:  the key-value store answers, as far as is known
-/// outage:   it serves no controller; users are told to retry, and no health check has to recover
-///           afterwards
-/// rejected: it serves others and rejects this controller
-/// cut_off:  it does not answer this controller; others are answered, or cannot be heard either
+/// outage:   the store serves no controller; users are told to retry, and health checks still pass,
+///           so that none has to recover afterwards
+/// rejected: the store serves other controllers and rejects this one
+/// cut_off:  the store does not answer this controller, and it answers others or no peer is
+///           reachable
 enum class ReadinessState { starting, serving, outage, rejected, cut_off };
-/// The name on the administration pages and in the log.
+/// Returns the state's name on the administration pages and in the log.
 [[nodiscard]] const char* name(ReadinessState state);
 
-/// What the last status of another controller said, in this controller's loop time.
+/// Health of a peer according to its last status, in this controller's loop time.
 struct PeerHealth {
     Millis last_status_at = 0;
-    Millis last_answer_at = 0;  ///< The key-value store last answered the peer then.
+    Millis last_answer_at = 0;  ///< when the key-value store last answered the peer
 };
 
-/// The users' requests that wait for the key-value store here.
+/// User requests of this controller that wait for the key-value store.
 struct PendingRequests {
     std::size_t requests = 0;
-    Millis since = 0;  ///< No request waited then; the oldest came later.
+    Millis since = 0;  ///< no request was pending then; the oldest came later
 };
 
-/// Evaluates the readiness from what the key-value store says to this controller and what the other
-/// controllers say that it says to them. Logs when a time without service begins, every ten seconds
-/// while it lasts, and when it ends. Is handed the time, in milliseconds of the loop; used by
-/// controller::ReadinessMonitor.
+/// Determines the readiness from the key-value store's answers to this controller and from the
+/// answers to other controllers that they report. Logs when a period without service begins, every
+/// ten seconds while it lasts, and when it ends. Times are arguments, in milliseconds of the loop.
+/// Used by controller::ReadinessMonitor.
 class Readiness {
   public:
-    /// `peer_count`: the other controllers in the settings.
+    /// @param peer_count number of other controllers in the settings.
     Readiness(std::size_t peer_count, Millis now) : peer_count_(peer_count), state_since_(now) {}
 
-    /// Evaluates anew. `peers`: of all controllers that have ever sent a status.
+    /// Updates and returns the state.
+    /// @param peers all controllers that have ever sent a status.
     ReadinessState update(bool machine_types_known, const kvstore::ServiceHealth& health,
                           const std::vector<PeerHealth>& peers, const PendingRequests& pending,
                           Millis now);
     [[nodiscard]] ReadinessState state() const { return state_; }
-    /// What health checks are told. In an outage for all, all controllers stay ready.
+    /// Returns the result for health checks. In an outage for all, all controllers stay ready.
     [[nodiscard]] bool ready() const {
         return state_ == ReadinessState::serving || state_ == ReadinessState::outage;
     }
-    /// Whether a leader should give up its term for a controller that is served. Not when it is cut
-    /// off: the machines of its zone may be cut off with it, and as long as its lease lasts it
-    /// answers them (docs/design/failure-domains.md). Its lease as leader then expires by itself.
+    /// Returns whether a leader should hand its term over to a controller that the store serves. It
+    /// should not when it is partitioned: its zone's machines may be in the same partition, and the
+    /// leader replies to them as long as its lease lasts (docs/design/failure-domains.md). Its
+    /// lease as leader then expires by itself.
     [[nodiscard]] bool should_hand_over() const {
         return state_ == ReadinessState::rejected && peers_served_;
     }
