--- a/src/machines/heartbeat_reply.h
+++ b/src/machines/heartbeat_reply.h
@@ -14,8 +14,7 @@
 /// HTTP statuses of a heartbeat reply.
 inline constexpr int kHeartbeatAccepted = 200;
 inline constexpr int kHeartbeatMisdirected = 421;  ///< another controller manages the machine
-inline constexpr int kHeartbeatUnavailable =
-    503;  ///< the responsible one is not known now; the worker retries
+inline constexpr int kHeartbeatUnavailable = 503;  ///< no controller known now; the worker retries
 
 struct HeartbeatReply {
     int status = kHeartbeatAccepted;
--- a/src/machines/worker_channel.h
+++ b/src/machines/worker_channel.h
@@ -51,7 +51,8 @@
     /// It came over a connection on which the worker has received an accepting reply, so the worker
     /// can be reached.
     bool follows_reply = false;
-    /// When it reached the first controller, which may have forwarded it. Never later than that.
+    /// When it reached a controller, possibly before it was forwarded to this one. Never later than
+    /// the actual arrival.
     Millis arrived_at = 0;
 };
 
@@ -137,8 +138,7 @@
     MessagePosition newest_proven_;
     MessagePosition newest_heartbeat_;  ///< newest of those made under this controller's token
     std::uint64_t token_ = 0;
-    std::uint64_t own_token_floor_ =
-        0;  ///< heartbeats that echo at least it were made under this controller
+    std::uint64_t own_token_floor_ = 0;  ///< lowest token whose echo counts as evidence
     std::uint64_t last_issued_token_ = 0;
     Millis last_issued_at_ = 0;
     Millis reached_at_ = 0;
@@ -150,8 +150,7 @@
     /// Until then replied_incarnation_ keeps its lease if the last heartbeat reply arrived.
     Millis lease_would_end_at_ = 0;
     bool lease_lapsed_ = false;  ///< the lease expired although a reply should have renewed it
-    bool incarnation_uncertain_ =
-        false;  ///< it may have restarted; only a command reply shows whether
+    bool incarnation_uncertain_ = false;  ///< may have restarted; a command reply shows it
 };
 
 }  // namespace nickelramp::machines
