--- a/src/partition/heartbeat_delegator.h
+++ b/src/partition/heartbeat_delegator.h
@@ -64,7 +64,7 @@
         Millis last_status_at = 0;
         bool confirms_cancellations = false;
         Millis view = 0;              // of the last delegation sent; 0: none
-        Millis no_replies_until = 0;  // it sent no unreported replies before
+        Millis no_replies_until = 0;  // it sent no unreported replies before then
         Millis last_reply_at = 0;     // last reply that it reported; 0: none
     };
     [[nodiscard]] Millis lease_end_after_reply(Millis replied_at) const;
--- a/src/partition/partition_responder.h
+++ b/src/partition/partition_responder.h
@@ -22,8 +22,8 @@
 /// end within `cancel_s`.
 [[nodiscard]] Millis max_response_bound(const wire::Settings& settings);
 
-/// Returns the same if users are told of a cancellation when the tasks have ended. The only limit is
-/// then the time that the leader must wait until a lease is known to have expired.
+/// Returns the same if users are told of a cancellation when the tasks have ended. The only limit
+/// is then how long the leader must wait until a lease is known to have expired.
 [[nodiscard]] Millis longest_response_window(const wire::Settings& settings);
 
 /// Returns the time by which every lease that another controller may have renewed until now has
