--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -1,6 +1,6 @@
-// Many machines that are unresponsive together: which are given up, who replies to them meanwhile,
-// and what becomes of their tasks. Properties are checked on random event sequences, which
-// RapidCheck shrinks when one fails; seeds are fixed.
+// Many machines that are unresponsive at the same time: which of them are declared lost, which
+// controller replies to them in the meantime, and what happens to their tasks. Properties are
+// checked on random event sequences, which RapidCheck shrinks on a failure; seeds are fixed.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -25,20 +25,20 @@
 
 const int kSeeded = setenv("RC_PARAMS", "seed=11 max_success=300", 0);
 
-// Whatever machines become unresponsive and come back, and however many are asked about: outside
-// healthy domains no more are given up than the rate allows, and in a lost one only stuck machines
-// whose lease lasts longer than moving takes.
+// Machines become unresponsive and responsive again, and may_declare_lost() is called any number of
+// times. Outside healthy domains no more machines are declared lost than the rate allows. In a lost
+// domain only stuck machines are, since the leases here last longer than moving replicas takes.
 TEST(FailureDetector, GivingUpMachinesIsRateLimited) {
     ASSERT_EQ(kSeeded, 0);
     EXPECT_TRUE(rc::check([] {
         FailureDomains domains(5, 31);
         const int up = *rc::gen::inRange(8, 400);
         domains.adjust_counts(0, up, 0);
-        int unresponsive = 0, given_up = 0;
+        int unresponsive = 0, declared_lost = 0;
         Millis now = 1'000, unhealthy_since = 0;
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 100), rc::gen::inRange(0, 30)));
-        for (auto [percent, asks] : steps) {
+        for (auto [percent, call_count] : steps) {
             const int wanted = up * percent / 100;
             domains.adjust_counts(0, 0, wanted - unresponsive);
             unresponsive = wanted;
@@ -49,24 +49,24 @@
             RC_ASSERT((health == DomainHealth::lost) ==
                       (unresponsive * 2 > up || (unresponsive >= 4 && unresponsive >= 0.3 * up)));
             if (health == DomainHealth::healthy) {
-                unhealthy_since = given_up = 0;
+                unhealthy_since = declared_lost = 0;
                 RC_ASSERT(domains.may_declare_lost(0, {}, 0, now));
                 continue;
             }
             if (unhealthy_since == 0) unhealthy_since = now;
-            for (int i = 0; i < asks; ++i) {
+            for (int i = 0; i < call_count; ++i) {
                 UnresponsiveMachine machine;
                 machine.stuck = i % 7 == 0;
                 machine.has_gangs_or_services = i % 2 == 0;
                 machine.lease_until = now + 20'000;
                 const bool allowed = domains.may_declare_lost(0, machine, 10'000, now);
-                given_up += allowed ? 1 : 0;
+                declared_lost += allowed ? 1 : 0;
                 test::test_trace().add(now, "give-up", allowed);
                 if (health == DomainHealth::lost) RC_ASSERT(!allowed || machine.stuck);
             }
             const double rate = std::max(1.0, 0.02 * up);
             const double unhealthy_s = static_cast<double>(now - unhealthy_since) / 1000.0;
-            RC_ASSERT(given_up <= rate * (2 + unhealthy_s) + 1);
+            RC_ASSERT(declared_lost <= rate * (2 + unhealthy_s) + 1);
         }
     }));
 }
@@ -83,7 +83,8 @@
     const Millis boot = 60'000;
     EXPECT_FALSE(domain.may_declare_lost(replicas, boot, 20'000));
     EXPECT_TRUE(domain.may_declare_lost(replicas, boot, 30'000));
-    // Array tasks end with their leases by themselves; the machine may come back with its images.
+    // Array tasks end by themselves with their leases, and the machine may become reachable again
+    // with its images.
     EXPECT_FALSE(domain.may_declare_lost(arrays, boot, 99'000));
     EXPECT_TRUE(domain.may_declare_lost(arrays, boot, 101'000));
 }
@@ -97,9 +98,9 @@
     EXPECT_TRUE(domains.all_mostly_unresponsive());
 }
 
-// The leader takes a lease for expired only when it is, whatever partition responders did
-// meanwhile: they are cut off, come back and restart; messages are lost; the worker accepts any
-// reply.
+// The leader considers a lease expired only when it has expired, whatever partition responders did
+// in the meantime: they are partitioned, reconnect and restart, messages are lost, and the worker
+// accepts any reply.
 TEST(FailureDetector, ALeaseIsExpiredOnlyIfNobodyCanHaveRenewedIt) {
     std::size_t expirations = 0, renewals = 0;
     EXPECT_TRUE(rc::check([&] {
@@ -120,9 +121,9 @@
         wire::Heartbeat heartbeat;
         heartbeat.incarnation = 1;
         heartbeat.token = shards::grant_token(7, 3);
-        Millis lease_until = 0;         // as the leader's own replies let it last
-        Millis worker_lease_until = 0;  // as the worker has it
-        bool reaches_leader = true;     // the worker's heartbeats do
+        Millis lease_until = 0;         // as extended by the leader's own replies
+        Millis worker_lease_until = 0;  // as the worker sees it
+        bool reaches_leader = true;     // whether the worker's heartbeats do
         const auto events = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
         const int kNoEvent = 99;
         Millis now = 10'000;
@@ -160,10 +161,11 @@
             if (worker_lease_expired && lease_until != 0 &&
                 leader.lease_expired(lease_until, now)) {
                 ++expirations;
-                break;  // its tasks may run elsewhere by now
+                break;  // from now on its tasks may run elsewhere
             }
             RC_ASSERT(lease_until == 0 || !leader.lease_expired(lease_until, now));
-            if (lease_until != 0 && worker_lease_expired) continue;  // a later incarnation's
+            if (lease_until != 0 && worker_lease_expired)
+                continue;  // renewals concern a later incarnation
             if (reaches_leader && event % 3 != 0) {
                 lease_until = now + with_clock_drift(seconds(settings.lease_s)) + 500;
                 worker_lease_until = now + seconds(settings.lease_s);
@@ -172,7 +174,8 @@
             for (int i = 0; i < 2; ++i) {
                 Peer& peer = peers[i];
                 const Millis peer_now = now + 5'000 * (i + 1);
-                peer.responder->update(peer.last_leader_message_at, peer.last_leader_message_at, peer_now);
+                peer.responder->update(peer.last_leader_message_at, peer.last_leader_message_at,
+                                       peer_now);
                 ++heartbeat.sequence;
                 if (!peer.responder->token_for_reply(heartbeat, true, peer_now)) continue;
                 worker_lease_until = now + seconds(settings.lease_s);
@@ -209,10 +212,10 @@
     responder.on_delegation(delegation, 4, 10'100);
     EXPECT_FALSE(reply_token(20'000)) << "a delegation for another process";
     responder.on_delegation(delegation, 3, 10'100);
-    EXPECT_FALSE(reply_token(12'000)) << "the leader may be heard again";
+    EXPECT_FALSE(reply_token(12'000)) << "the leader may be reachable again";
     EXPECT_EQ(reply_token(20'000), heartbeat.token);
     EXPECT_TRUE(reply_token(39'000));
-    EXPECT_FALSE(reply_token(39'500)) << "what it knows of cancellations is too old";
+    EXPECT_FALSE(reply_token(39'500)) << "its knowledge of cancellations is too old";
     for (std::uint64_t token : {shards::grant_token(6, 2), shards::grant_token(8, 2),
                                 shards::grant_token(7, 4) + 1, shards::grant_token(7, 6)}) {
         heartbeat.token = token;
@@ -220,7 +223,8 @@
     }
 }
 
-// Twelve services that run undisturbed, on five machines or more in each of two zones.
+// Returns a simulation without faults in which twelve services are running, on at least five
+// machines in each of two zones.
 std::unique_ptr<ClusterSimulation> simulation_with_running_services(std::uint64_t seed,
                                                                     std::uint32_t share) {
     auto simulation = std::make_unique<ClusterSimulation>(seed, Faults{}, share);
@@ -234,7 +238,8 @@
     return simulation;
 }
 
-// The scheduler once released every machine of a zone within ten seconds of its being cut off.
+// Guards against releasing every machine of a zone within ten seconds after the zone became
+// unreachable.
 TEST(FailureDetector, AZonePartitionedForLessThanALeaseLosesNothing) {
     auto simulation = simulation_with_running_services(401, 0);
     const std::size_t before = simulation->running_tasks("b"), starts = simulation->started_tasks();
@@ -254,7 +259,7 @@
     simulation->partition(
         {.zone = "b", .includes_controller = true, .from = 100'000, .until = 135'000});
     simulation->run_until(110'000);
-    simulation->fail_over();  // the next leader does not know who replied in the meantime
+    simulation->fail_over();  // the next leader does not know which responders replied
     simulation->run_until(170'000);
     EXPECT_EQ(simulation->running_tasks("b"), before);
     EXPECT_EQ(simulation->tasks_killed_by_lease(), 0u);
@@ -262,16 +267,16 @@
     EXPECT_GT(simulation->replies_by_responders(), 10u);
 }
 
-// No controller is in the zone, and it comes back half a boot time after its leases ended. Its
-// machines are still there, with their images: every second one was once released when the leases
-// ended, for arrays that the lease ends anyway, or for one replica of several that had a slot
-// elsewhere.
+// A zone without a controller becomes reachable again half a boot time after its leases expired.
+// Its machines still exist, with their images. Guards against releasing half of them when the
+// leases expire, because of arrays that end with the lease anyway, or of a single movable replica
+// among several.
 TEST(FailureDetector, AZoneThatReturnsSoonAfterItsLeasesKeepsItsMachines) {
     for (std::uint64_t seed = 430; seed < 434 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         auto simulation = simulation_with_running_services(seed, 0);
         for (int n = 0; n < 6; ++n) {
-            // Three replicas: if two are in one zone, one of them may go to the other.
+            // Three replicas: if two are in one zone, one of them may move to the other zone.
             auto spec = job("job-" + std::to_string(50 + n), "standing", 3, 0);
             spec["cores"] = 2.0;
             spec["scatter"] = true;
@@ -285,15 +290,16 @@
         simulation->partition(
             {.zone = "b", .delays_commands = true, .from = 112'000, .until = 137'000});
         simulation->run_until(136'000);
-        EXPECT_EQ(simulation->released_machines("b"), released) << "of the zone that will be back";
+        EXPECT_EQ(simulation->released_machines("b"), released)
+            << "in the zone that becomes reachable again";
         simulation->run_until(165'000);
         EXPECT_GE(simulation->running_tasks("b"), 12u);
     }
 }
 
-// Parts of a zone that are cut off or whose messages hang, for less and more than a lease, with and
-// without a partition responder inside, in pairs, with a failover in the middle: the simulation's
-// invariants hold, and every job ends.
+// Pairs of partitions, each of a part of a zone that is unreachable or whose messages are delayed,
+// for less and more than a lease, with and without a partition responder inside, and with a
+// failover during them. The simulation's invariants hold, and every job ends.
 TEST(FailureDetector, PairsOfPartitionsOfEveryKind) {
     std::uint64_t seed = 500;
     for (double part : {0.1, 0.4, 1.0}) {
@@ -348,13 +354,13 @@
     }
 }
 
-// Spot machines that the cloud took without notice are missing from its list: that is known long
-// before a lease expires, however many machines are unresponsive.
+// Spot machines preempted without notice are missing from the cloud's list. The leader treats them
+// as gone long before a lease expires, however many machines are unresponsive.
 TEST(FailureDetector, MachinesTheCloudNoLongerListsAreGone) {
     auto simulation = simulation_with_running_services(403, 0);
     const std::size_t before = simulation->running_tasks("b"), starts = simulation->started_tasks();
     simulation->preempt_zone("b");
-    simulation->run_until(118'000);  // the last leases would end at 120 s
+    simulation->run_until(118'000);  // the last leases would expire at 120 s
     for (const auto* machine : simulation->leader()->registry().all())
         EXPECT_EQ(machine->reachability, machines::Reachability::reachable) << machine->name;
     simulation->run_until(150'000);
