--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -1,8 +1,7 @@
-// Machines, zones and controllers that come within reach or go out of it: machines that boot at
-// once, inbound-only machines, a partition of a zone and all controllers down for longer than a
-// lease, leaders that follow one another quickly, jobs bound to one zone
-// (docs/design/combined-faults.md). Each test counts that its case came about; the simulation
-// checks the protocol's rules.
+// Machines, zones and controllers that become reachable or unreachable: machines that boot quickly,
+// inbound-only machines, a zone partition or no leader for longer than a lease, leaders that change
+// in quick succession, jobs bound to one zone (docs/design/combined-faults.md). Each test verifies
+// by counters that its case occurred. The simulation checks the protocol's rules.
 #include <gtest/gtest.h>
 
 #include "machines/worker_channel.h"
@@ -22,14 +21,14 @@
 using test::SimulatedDay;
 
 const Millis kLease = test::simulated_lease();
-// Leases that another controller may have given are over: two for its replies, one for the last of
-// them, and two seconds for clock drift.
+// Time after which leases granted by another controller have expired: two leases during which it
+// may reply, one lease after its last reply, and two seconds for clock drift.
 const Millis kInheritedLeasesOver = 3 * kLease + 2'000;
 
-// Machines boot 0.3 to 2 s after the provisioning request has reached the cloud: their heartbeats
-// arrive before its reply, tasks are placed at once, and the leader crashes while the transactions
-// that record it are late or only their replies lost. The successor's instance list lacks the
-// machine, shows it as booting, or still shows one that was released.
+// Machines boot 0.3 to 2 s after the provisioning request has reached the cloud. Their heartbeats
+// arrive before the cloud's reply, tasks are placed at once, and the leader crashes while the
+// transactions that record this are late or their replies are lost. The successor's instance list
+// lacks the machine, shows it as booting, or still shows one that was released.
 TEST(Reachability, MachinesThatBootWithinTwoSeconds) {
     std::size_t inherited = 0, unlisted = 0, booting = 0, before_reply = 0, late = 0;
     for_each_seed(1, 70, [&](std::uint64_t seed) {
@@ -67,7 +66,7 @@
     EXPECT_GT(inherited, 300u);
 }
 
-// A command reply shows that the machine is there, and renews no lease.
+// A command reply proves that the machine is alive, but renews no lease.
 TEST(Reachability, AMachineThatAnswersButSendsNoHeartbeatsIsInboundOnly) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
@@ -89,8 +88,8 @@
     EXPECT_FALSE(channel.is_inbound_only(kLease, 60'000));
 }
 
-// Tasks are not started again and again on an inbound-only machine only to end with its lease;
-// cancellations reach its tasks at once; it is released or, while the cloud is down, stays empty.
+// Tasks are not repeatedly started on an inbound-only machine, where they would end with its lease.
+// Cancellations reach its tasks at once. It is released or, while the cloud is down, stays empty.
 TEST(Reachability, InboundOnlyMachines) {
     std::size_t lost = 0, finished = 0, stopped = 0;
     for_each_seed(100, 40, [&](std::uint64_t seed) {
@@ -108,18 +107,18 @@
         faults.cloud_down = seed % 2 == 0;
         day.simulation.set_faults(faults);
         if (seed % 4 >= 2) day.simulation.crash_leader();
-        // Half a lease until it is known, and half a lease of a new leader.
+        // Half a lease until it is detected, and half a lease more under a new leader.
         day.run(2 * kLease + 15'000);
         EXPECT_EQ(day.simulation.removed(inbound_only), !faults.cloud_down);
         EXPECT_TRUE(!faults.cloud_down || day.simulation.tasks_on(inbound_only) == 0)
             << day.simulation.describe_running();
         EXPECT_GE(day.running_tasks(), before)
             << day.simulation.describe_running() << day.simulation.describe_cluster_state();
-        // Each of its tasks once, and those that a new leader placed on it before it knew.
+        // Each of its tasks once, and those that a new leader placed on it before the detection.
         EXPECT_LE(day.simulation.tasks_killed_by_lease() - killed, 2 * there);
         lost += day.simulation.tasks_killed_by_lease() - killed;
         stopped += day.simulation.stopped_tasks() - stops;
-        // Machines that are inbound-only from now on run tasks of jobs that are cancelled.
+        // Machines that become inbound-only now run tasks of jobs that are cancelled.
         for (const std::string& name : day.simulation.working_machines())
             if (day.random() % 2 == 0)
                 day.simulation.block_heartbeats(name, day.simulation.now() + 60'000);
@@ -130,14 +129,15 @@
         day.expect_all_finished(kInheritedLeasesOver + 25'000);
     });
     EXPECT_GT(lost, 5u);
-    EXPECT_GT(stopped, 40u);  // in time to save their state
+    EXPECT_GT(stopped, 40u);  // early enough to save their state
     EXPECT_EQ(finished, 40u);
 }
 
-// Each for longer than a lease, while leaders change and jobs are cancelled: a zone with a
-// controller is partitioned, all controllers are down, the machines of a zone or half of all are
-// inbound-only. No task runs twice (the simulation checks it), and then all goes on soon: machines
-// answer the new leader, so that it need not wait for leases that it cannot know.
+// Faults that last longer than a lease, while leaders change and jobs are cancelled: a zone with a
+// controller is partitioned, no controller can lead since the state service is down, or the
+// machines of a zone or half of all machines are inbound-only. No task runs twice (the simulation
+// checks this). Afterwards all jobs continue soon: machines answer the new leader, so that it need
+// not wait for unknown leases.
 TEST(Reachability, UnreachableForLongerThanALease) {
     std::size_t killed = 0, replies_by_responders = 0, inbound_only = 0;
     for_each_seed(150, 120, [&](std::uint64_t seed) {
@@ -151,8 +151,8 @@
             day.simulation.partition(
                 {"b", 1, false, variant % 2 == 0, variant % 4 != 0, from, until});
         } else if (seed % 3 == 1) {
-            // The leader crashes, freezes or is rejected; no other begins before the service is
-            // back.
+            // The leader crashes, freezes or is rejected. No new leader starts before the state
+            // service answers again.
             day.simulation.take_state_service_down(until - from);
             if (seed % 4 < 3 && variant % 2 == 0) day.simulation.restart_holders();
             if (variant % 3 == 0) day.simulation.freeze_leader(until - from);
@@ -186,9 +186,9 @@
     EXPECT_GT(inbound_only, 60u);
 }
 
-// Ten leaders in two minutes, also with outages of the key-value store in between. Each measures
-// what it cannot reach from its own beginning, so that waits do not add up, but begin again:
-// cancelled jobs finish within three leases of the last leader.
+// Ten leaders in two minutes, also with outages of the key-value store in between. Each leader
+// measures how long machines are unreachable from its own start, so timeouts restart and do not add
+// up. Cancelled jobs finish within three leases of the last leader.
 TEST(Reachability, TenLeadersInTwoMinutes) {
     std::size_t terms = 0, out_of_reach = 0;
     for_each_seed(300, 40, [&](std::uint64_t seed) {
@@ -225,9 +225,9 @@
     EXPECT_GT(out_of_reach, 30u);
 }
 
-// Jobs bound to one zone lose machines in all ways while the leader changes. Tasks that are left
-// bind them to their zone until they are gone (the simulation reports wrong_place otherwise); then
-// jobs that may run in any one zone move, and those that name a zone wait for capacity there.
+// Jobs bound to one zone lose machines in various ways while the leader changes. Remaining tasks
+// bind a job to its zone until they are gone (the simulation reports wrong_place otherwise). Then
+// jobs that may run in any one zone move, and jobs that name a zone wait for capacity there.
 TEST(Reachability, JobsBoundToOneZoneLoseMachines) {
     std::size_t moved = 0, waited = 0;
     for_each_seed(400, 60, [&](std::uint64_t seed) {
@@ -240,18 +240,19 @@
         day.submit("sweep", 6, 1, zone_b);
         day.run(20'000 + day.random_below(22'000));
         const std::size_t before = day.simulation.running_tasks("b");
-        const bool partitioned = seed % 5 == 0, for_good = seed % 2 == 0;
+        const bool partitioned = seed % 5 == 0, permanent = seed % 2 == 0;
         const Millis from = day.simulation.now(),
                      back = from + kLease + day.random_below(3 * kLease);
         for (const auto* machine : day.simulation.leader()->registry().all()) {
             if (partitioned || day.simulation.zone_of(machine->name) != "b") continue;
-            if (for_good || day.random() % 2 == 0) day.simulation.kill_machine(machine->name);
+            if (permanent || day.random() % 2 == 0) day.simulation.kill_machine(machine->name);
         }
         if (partitioned)
-            day.simulation.partition({"b", 1, false, false, false, from, for_good ? kNever : back});
+            day.simulation.partition(
+                {"b", 1, false, false, false, from, permanent ? kNever : back});
         if (seed % 5 == 1) day.simulation.preempt_zone("b");
         Faults faults;
-        if (for_good) faults.exhausted_zone = "b";
+        if (permanent) faults.exhausted_zone = "b";
         day.simulation.set_faults(faults);
         for (int n = 0; n < 3; ++n) {
             day.run(day.random_below(9'000));
@@ -266,9 +267,9 @@
             });
             EXPECT_EQ(runs, 2) << day.ids[n] << day.simulation.describe_running()
                                << day.simulation.describe_cluster_state();
-            moved += for_good && before > 0 ? 1 : 0;
+            moved += permanent && before > 0 ? 1 : 0;
         }
-        if (for_good && !partitioned) {
+        if (permanent && !partitioned) {
             EXPECT_EQ(day.simulation.running_tasks("b"), 0u);
             ++waited;
             day.simulation.clear_faults();
@@ -276,14 +277,14 @@
             EXPECT_GE(day.simulation.running_tasks("b"), 2u)
                 << day.simulation.describe_cluster_state();
         }
-        if (!for_good) day.expect_all_finished(kInheritedLeasesOver + 60'000);
+        if (!permanent) day.expect_all_finished(kInheritedLeasesOver + 60'000);
     });
     EXPECT_GT(moved, 20u);
     EXPECT_GT(waited, 10u);
 }
 
-// A new leader's first instance list shows what its predecessor has just released, perhaps as
-// booting: no job may wait for that.
+// A new leader's first instance list may show machines that its predecessor has just released,
+// possibly as booting. No job may wait for them.
 TEST(Reachability, NoJobWaitsForMachinesOfAStaleCloudList) {
     std::size_t gone_but_listed = 0;
     for_each_seed(520, 30, [&](std::uint64_t seed) {
@@ -310,21 +311,22 @@
     EXPECT_GT(gone_but_listed, 10u);
 }
 
-// An instance list may be older than the one before: only one that is certainly later proves
-// anything.
+// An instance list may show an older state than the list before. Only a list that is certainly
+// newer proves that a machine is gone.
 TEST(Reachability, ACloudListThatLacksAMachineMayBeStale) {
     ClusterSimulation simulation(560, {});
     simulation.run_until(10'000);
     simulation.leader()->on_instances_listed(
         {{"i-9", "i-9", "g4", "a", false, wire::InstanceStatus::booting, 1}}, simulation.now(),
         simulation.now());
-    simulation.run_until(20'000);  // lists that lack it have come meanwhile
+    simulation.run_until(20'000);  // lists that lack it have arrived by then
     EXPECT_NE(simulation.leader()->registry().find("i-9"), nullptr);
     simulation.run_until(26'000);
     EXPECT_EQ(simulation.leader()->registry().find("i-9"), nullptr);
 }
 
-// The zone with the most quota left has no machine to give: the gang must not wait for it.
+// No machine can be provisioned in the zone with the most quota left. The gang must not wait for
+// it.
 TEST(Reachability, AOneZoneGangGoesWhereAllItsMachinesCanBeProvisioned) {
     ClusterSimulation simulation(500, {}, 0, {{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}}});
     wire::Json first = job("job-1", "standing", 1, 1);
--- a/tests/worker_channel_simulation_test.cpp
+++ b/tests/worker_channel_simulation_test.cpp
@@ -1,5 +1,6 @@
-// Workers whose messages are lost, late or copied, in simulated clusters: outbound-only machines,
-// machines that commands do not reach, duplicates of heartbeats, and workers that restart at once.
+// Workers whose messages are lost, delayed or duplicated, in simulated clusters: outbound-only
+// machines, machines that commands do not reach, duplicates of heartbeats, and workers that restart
+// at once.
 #include <gtest/gtest.h>
 
 #include "machines/worker_channel.h"
@@ -17,7 +18,8 @@
 using test::job;
 using test::report;
 
-// A service of four replicas, a gang and an array over some machines, all of it running.
+// Returns a cluster in which a service of four replicas, a gang and an array are running on several
+// machines.
 std::unique_ptr<ClusterSimulation> running_cluster(std::uint64_t seed) {
     auto simulation = std::make_unique<ClusterSimulation>(seed, Faults{});
     simulation->submit(job("job-1", "standing", 4, 4));
@@ -29,7 +31,8 @@
     return simulation;
 }
 
-// Guards against: heartbeats kept the machine alive for ever, and its tasks were never restarted.
+// Guards against heartbeats that keep the machine alive forever, so that its tasks are never
+// restarted.
 TEST(WorkerChannel, TasksOfAnOutboundOnlyMachineAreRestartedElsewhere) {
     for (std::uint64_t seed : {11, 12, 13}) {
         SCOPED_TRACE(seed);
@@ -46,13 +49,13 @@
 }
 
 // While the cloud is down and cannot release the machine, its tasks are restarted elsewhere once
-// its lease has ended, which its own heartbeats tell.
+// its lease has expired. Its own heartbeats report that.
 TEST(WorkerChannel, AnOutboundOnlyMachinesLeaseEndsThoughTheCloudIsDown) {
     for (std::uint64_t seed : {61, 62, 63}) {
         SCOPED_TRACE(seed);
         ClusterSimulation simulation(seed, {});
         wire::Json array = job("job-0", "sweep", 1'500, 1);
-        array["crew"] = "blue";  // may be stopped for a replica
+        array["crew"] = "blue";  // may be preempted for a replica
         simulation.submit(array);
         simulation.submit(job("job-1", "standing", 1, 4));
         simulation.run_until(60'000);
@@ -64,7 +67,7 @@
         simulation.set_faults(faults);
         simulation.block_inbound(simulation.leader()->registry().by_index(first_machine)->name,
                                  kNever);
-        // Half a lease until replies cease, a lease, and a start elsewhere.
+        // Half a lease until replies cease, one lease, and the start elsewhere.
         simulation.run_until(simulation.now() + 50'000);
         EXPECT_TRUE(std::any_of(attempts.begin(), attempts.end(), [&](const auto& attempt) {
             return attempt->machine != first_machine &&
@@ -73,8 +76,8 @@
     }
 }
 
-// Replies reach the machine and renew its lease; commands do not. Guards against: it counted as
-// reachable, and what was placed on it waited for a start that never came, over and over.
+// Replies reach the machine and renew its lease, but commands do not. Guards against counting the
+// machine as reachable, so that tasks are repeatedly placed on it and never start.
 TEST(WorkerChannel, AMachineWithoutCommandsKeepsItsTasksAndGetsNoNewOnes) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
@@ -93,7 +96,7 @@
         const std::string name = simulation->working_machines().front();
         const std::size_t killed = simulation->tasks_killed_by_lease();
         simulation->block_commands(name, kNever);
-        // Commands to the others are lost for a moment, which proves nothing yet.
+        // Commands to the other machines are lost briefly, which proves nothing yet.
         for (const std::string& other : simulation->working_machines())
             if (other != name) simulation->block_commands(other, simulation->now() + 4'000);
         for (int n = 10; n < 16; ++n) {
@@ -101,7 +104,7 @@
             more["crew"] = "blue";
             simulation->submit(more);
         }
-        simulation->fail_over();  // the new leader must find out by itself
+        simulation->fail_over();  // the new leader must detect it again
         simulation->run_until(simulation->now() + 60'000);
         std::size_t replies_only = 0;
         for (const auto* machine : simulation->leader()->registry().all())
@@ -120,8 +123,8 @@
     }
 }
 
-// Two machines and no third. Guards against: the one that no command reaches is empty first, and
-// the task that was placed on it started nowhere, not even when the other came free.
+// There are only two machines, and the one that no command reaches becomes empty first. Guards
+// against placing a task on it, which then does not start even when the other one becomes free.
 TEST(WorkerChannel, NothingIsPlacedWhereNoCommandArrives) {
     for (std::uint64_t seed : {81, 82, 83}) {
         SCOPED_TRACE(seed);
@@ -137,7 +140,7 @@
         const auto& attempts = simulation.leader()->open_jobs().at("job-1")->attempts;
         const Index machine = attempts.front()->machine;
         simulation.block_commands(simulation.leader()->registry().by_index(machine)->name, kNever);
-        simulation.cancel("job-1");  // its stop goes with a reply
+        simulation.cancel("job-1");  // the stop command is sent in a heartbeat reply
         simulation.run_until(simulation.now() + 12'000);
         ASSERT_FALSE(simulation.final_state("job-1").empty());
         simulation.submit(job("job-3", "sweep", 1, 4));
@@ -149,8 +152,8 @@
     }
 }
 
-// Its machines are given up a few at a time, as with any fault that a zone's machines share; when
-// it is over, those that are left are reachable again.
+// The zone's machines are declared lost a few at a time, as with any fault that a zone's machines
+// share. When the fault ends, the remaining machines are reachable again.
 TEST(WorkerChannel, AnOutboundOnlyZoneIsNotGivenUpAtOnce) {
     ClusterSimulation simulation(21, {});
     for (int n = 0; n < 12; ++n) {
@@ -181,8 +184,8 @@
     EXPECT_EQ(simulation.tasks_killed_by_lease(), 0u);
 }
 
-// A worker that restarts before it is missed: its tasks are restarted at once, although its message
-// numbers are smaller than those that are known.
+// A worker restarts before a heartbeat is missed. Its tasks are restarted at once, although its
+// sequence numbers are smaller than the known ones.
 TEST(WorkerChannel, AWorkerThatRestartsAtOnceIsBelieved) {
     for (std::uint64_t seed : {31, 32, 33}) {
         SCOPED_TRACE(seed);
@@ -195,7 +198,7 @@
         simulation->redeliver_heartbeat(name, false, 700);  // of its former incarnation
         simulation->run_until(simulation->now() + 8'000);
         EXPECT_GE(simulation->started_tasks(), starts + tasks);
-        EXPECT_EQ(simulation->released_machines(), released);  // it was not given up
+        EXPECT_EQ(simulation->released_machines(), released);  // it was not declared lost
         simulation->cancel("job-1");
         simulation->run_until(simulation->now() + 200'000);
         EXPECT_EQ(simulation->final_state("job-2"), "done");
@@ -203,8 +206,8 @@
     }
 }
 
-// Neither a leader that knows the machine is gone nor its successor takes a duplicate for a
-// machine.
+// A duplicate of a heartbeat does not add a machine that is gone, neither at the leader that knows
+// it is gone nor at that leader's successor.
 TEST(WorkerChannel, DuplicatesDoNotReviveMachines) {
     auto simulation = running_cluster(41);
     const std::string gone = simulation->working_machines().front();
@@ -225,7 +228,8 @@
     EXPECT_EQ(simulation->provisioned_machines(), provisioned);
 }
 
-// No task waits for a machine that is known from a duplicate only: others are provisioned at once.
+// No task waits for a machine that is known only from a duplicate. Other machines are provisioned
+// at once.
 TEST(WorkerChannel, UnverifiedMachinesAreNotCountedOn) {
     auto simulation = running_cluster(45);
     std::vector<std::string> gone;
@@ -240,13 +244,13 @@
     const std::size_t provisioned = simulation->provisioned_machines();
     wire::Json gang = job("job-9", "ensemble", 4, 4);
     gang["crew"] = "blue";
-    simulation->cancel("job-3");  // of the same team: leaves its quota to the gang
+    simulation->cancel("job-3");  // its team's quota is then free for the gang
     simulation->submit(gang);
     simulation->run_until(simulation->now() + 1'500);
     EXPECT_GE(simulation->provisioned_machines(), provisioned + 4);
 }
 
-// A machine that fails is not kept alive by duplicates of its earlier heartbeats.
+// A failed machine does not stay alive because of duplicates of its earlier heartbeats.
 TEST(WorkerChannel, DuplicatesKeepNoMachineAlive) {
     auto simulation = running_cluster(51);
     const std::string dead = simulation->working_machines().front();
@@ -255,10 +259,11 @@
     simulation->run_until(simulation->now() + 30'000);
     EXPECT_TRUE(simulation->removed(dead));
     EXPECT_GT(simulation->heartbeat_copies(), 20u);
-    EXPECT_EQ(simulation->answered_heartbeat_copies(), 0u);  // or its lease would seem to last on
+    EXPECT_EQ(simulation->answered_heartbeat_copies(), 0u);  // a reply would extend the lease
 }
 
-// All of it at once, with failovers, lost messages and shard holders that fail.
+// Runs a day with all of these faults at once, with failovers, lost messages and failing shard
+// holders.
 void run_day_with_faults(std::uint64_t seed, const Faults& faults, std::uint32_t shard_share) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     ClusterSimulation simulation(seed, faults, shard_share);
@@ -299,7 +304,8 @@
         run_day_with_faults(seed, faults, seed % 2 == 0 ? 1 : 0);
 }
 
-// Without long delays of commands: a worker that has forgotten every token would obey them.
+// Without long delays of commands, since a restarted worker knows no token and would obey late
+// ones.
 TEST(WorkerChannel, RulesHoldWithWorkerRestartsDuplicatesAndFailovers) {
     Faults faults;
     faults.late_heartbeat_copies = 0.3;
--- a/tests/worker_channel_test.cpp
+++ b/tests/worker_channel_test.cpp
@@ -1,6 +1,6 @@
-// What a worker's messages prove: a property test against a plain model of workers that restart and
-// of a network that brings copies late, and examples. The same in simulated clusters:
-// worker_channel_simulation_test.cpp.
+// What a worker's messages prove: a property test against a simple model of a worker that restarts
+// and a network that delivers late copies, and examples. worker_channel_simulation_test.cpp tests
+// the same in simulated clusters.
 #include "machines/worker_channel.h"
 
 #include <gtest/gtest.h>
@@ -28,28 +28,28 @@
     }
 };
 
-// A worker, the network and the controller's token. Every message has the moment at which it was
-// made; whatever the channel takes for proof must have been made after everything that was proven
-// before, and after the controller took control.
+// A model of a worker, the network and the controller's token. Every message carries the moment (a
+// logical clock) at which it was made. A message that the channel accepts as proof must have been
+// made after every earlier proof, and after the controller took control.
 class ChannelModel {
   public:
     explicit ChannelModel(FreshnessCounts& counts) : counts_(counts) {
         channel_.take_control(issued_token_, now_);
     }
 
-    // `event`: 0 to 999. What happens, and how often, is told by its range.
+    // Simulates one event. The ranges of `event`, 0 to 999, select its kind and frequency.
     void step(int event) {
         now_ += 500;
         if (event < 450)
             heartbeat_arrives(event % 3 != 0);
         else if (event < 600)
-            make_message();  // lost, or late
+            make_message();  // lost or delivered late
         else if (event < 800)
             copy_arrives(static_cast<std::size_t>(event * 7919));
         else if (event < 920)
             command_is_answered(event % 4 == 0, event % 5 == 0);
         else if (event < 950)
-            ++incarnation_;  // its lease has ended
+            ++incarnation_;  // its lease has expired
         else if (event < 985)
             restart_worker();
         else if (event < 992)
@@ -58,7 +58,7 @@
             channel_.raise_token(++issued_token_, now_);
     }
 
-    // One command reply, and the worker's state is known again.
+    // Checks that a single command reply is enough to know the worker's state again.
     void expect_proof_by_command_reply() {
         const MessagePosition newest_known = channel_.newest_position();
         seen_token_ = issued_token_;
@@ -69,7 +69,7 @@
   private:
     struct Message {
         wire::Heartbeat heartbeat;
-        std::size_t made_at = 0;  // moment
+        std::size_t made_at = 0;  // in moments
     };
 
     const Message& make_message() {
@@ -116,7 +116,7 @@
         seen_token_ = std::max(seen_token_, issued_token_);
         const Message reply = make_message();
         MessagePosition newest{incarnation_, sequence_};
-        if (overtaken) {  // by a heartbeat that was made later
+        if (overtaken) {  // by a later heartbeat
             const EvidenceFreshness later = deliver_new_heartbeat();
             if (machines::proves_state(later)) newest = {incarnation_, sequence_};
         }
@@ -143,10 +143,10 @@
 
     FreshnessCounts& counts_;
     WorkerChannel channel_;
-    std::vector<Message> sent_;  // all that were ever made
+    std::vector<Message> sent_;  // all messages made so far
     std::size_t moment_ = 0;
     std::size_t proven_at_ = 0;         // moment at which the newest proof was made
-    std::size_t in_control_since_ = 0;  // moment
+    std::size_t in_control_since_ = 0;  // in moments
     bool restarted_ = false;
     std::uint64_t incarnation_ = 1, sequence_ = 0;
     std::uint64_t seen_token_ = 0, issued_token_ = 1'000;
@@ -167,7 +167,7 @@
     EXPECT_GT(counts.unordered, 100u);
 }
 
-// A heartbeat shows that the machine is there, not that it can be reached.
+// A heartbeat proves that the machine is alive, not that it can be reached.
 TEST(WorkerChannel, AMachineIsOutboundOnlyUntilSomethingReachesIt) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
@@ -180,7 +180,7 @@
     }
     EXPECT_EQ(channel.reachability(5'000, 5'000), Reachability::reachable);
     EXPECT_EQ(channel.reachability(5'000, 13'000), Reachability::outbound_only);
-    // Replies that do not arrive must not make its lease seem to last for ever.
+    // Replies that do not arrive must not extend its assumed lease forever.
     EXPECT_TRUE(channel.should_reply(20'000, 14'000));
     EXPECT_FALSE(channel.should_reply(20'000, 14'001));
     EXPECT_EQ(channel.on_heartbeat(report(1, 13'001, 10), true, 14'000), EvidenceFreshness::fresh);
@@ -199,7 +199,8 @@
     EXPECT_EQ(channel.reachability(5'000, 22'001),
               Reachability::outbound_only);  // commands do arrive
     EXPECT_FALSE(channel.should_reply(20'000, 22'001));
-    // A worker that was frozen for longer than its lease has lost it by itself.
+    // A worker that was frozen for longer than its lease has lost the lease although replies
+    // arrive.
     WorkerChannel frozen;
     frozen.take_control(10, 1'000);
     EXPECT_EQ(frozen.on_command_reply(report(1, 1, 10), {}, 1'000, 1'001),
