--- a/src/readiness/readiness.h
+++ b/src/readiness/readiness.h
@@ -1,5 +1,5 @@
 /// @file
-/// Whether this controller can serve users, and if not, why.
+/// Determines whether this controller can serve users and, if not, why.
 #pragma once
 #include <cstddef>
 #include <vector>
