--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -14,26 +14,26 @@
 
 namespace {
 constexpr std::uint32_t kMaxMachinesPerRequest = 50;  // the cloud's own limit
-constexpr std::size_t kMaxMachinesPerRelease = 100;   // likewise
+constexpr std::size_t kMaxMachinesPerRelease = 100;   // the cloud's own limit
 constexpr std::size_t kMinRequestsInFlight = 2;
 constexpr Millis kListMargin = 1'000;
 constexpr Millis kReleaseRetryDelay = 1'000;
 constexpr double kSurplusRetentionS = 10;
-constexpr double kSpotRetentionBoots = 2;     // boot times that an empty spot machine is kept
-constexpr double kNeededRetentionBoots = 20;  // and an ordinary one that is likely to be needed
-constexpr double kUnknownBootS = 60;          // of a machine whose type is not known yet
+constexpr double kSpotRetentionBoots = 2;     // in boot times, for empty spot machines
+constexpr double kNeededRetentionBoots = 20;  // in boot times, for needed on-demand machines
+constexpr double kUnknownBootS = 60;          // boot time if the machine type is not known yet
 }  // namespace
 
 void Autoscaler::scale_out(const std::vector<Job*>& unplaced,
                            const JobQueue::CapacityShortage& shortage, Millis now) {
-    // What earlier terms asked for is on record or in the list: before both are read, nothing is
-    // known to be missing.
+    // Machines requested by earlier terms are in the intent records or in the cloud's list. Before
+    // both have been read, it is unknown which machines are missing.
     if (cluster_.types().empty() || !instances_listed_) return;
     ScaleOutPlan plan(term_, cluster_, forecast_, rules_, provisioning_, failure_detector_, now);
     const std::size_t max_requests = std::max(
         kMinRequestsInFlight, static_cast<std::size_t>(term_.settings().cloud_requests_per_s));
     std::size_t quota = remaining_machine_quota();
-    // What is not sent now is planned anew the next time, with what has come meanwhile.
+    // Demand that is not requested now is planned again in the next round.
     for (const MachineDemand& demand : plan.make(unplaced, shortage)) {
         if (provisioning_.own_request_count() >= max_requests || quota == 0) break;
         const auto count = static_cast<std::uint32_t>(
@@ -43,17 +43,17 @@
     }
 }
 
-// How many more machines there may be, beside those that there are or that are asked for.
+// Returns how many machines may be requested beyond the existing and the requested ones.
 std::size_t Autoscaler::remaining_machine_quota() const {
     std::size_t machines = cluster_.machines().size();
     for (const auto& [name, request] : provisioning_.requests()) machines += request.count;
     return max_machines_ - std::min(max_machines_, machines);
 }
 
-// Its name, kind and count are on record before it is sent: whoever leads by then can repeat it.
+// Records the name, kind and count before the request is sent, so that a later leader can retry it.
 void Autoscaler::request_machines(const cloud::MachineKind& kind, std::uint32_t count) {
     const std::uint64_t fence = term_.role_fence(Role::scale_out);
-    if (fence == 0) return;  // nobody may send it
+    if (fence == 0) return;  // no holder of the role is known
     const std::string request =
         provisioning_.start_request(term_.info().number, fence, kind, count);
     if (request.empty()) return;
@@ -67,7 +67,7 @@
                  count, type, zone, kind.spot);
 }
 
-// If the record is full, answered requests that are only kept for a successor make room.
+// If the record is full, removes answered requests, which are kept for the next leader only.
 bool Autoscaler::record_intent(const autoscaling::ProvisioningIntent& intent) {
     while (!intent_log_.add(Role::scale_out, intent)) {
         if (answered_requests_.empty()) return false;
@@ -118,7 +118,7 @@
                                  Millis now) {
     for (const autoscaling::ProvisioningIntent& intent : intents) {
         if (role == Role::scale_in) {
-            // Nothing may be placed on it: the release may be executed at any time.
+            // The release may be executed at any time, so nothing may be placed on the machine.
             Machine* machine = cluster_.add_machine(intent.name, now);
             cluster_.release_machine(*machine, cluster::ReleaseReason::released_earlier);
             continue;
@@ -126,8 +126,9 @@
         const Index type = cluster_.type_names().find(intent.type);
         const Index zone = cluster_.zones().find(intent.zone);
         if (type == kNone || zone == kNone) {
-            spdlog::error("inherited request is of an unknown kind: request={} type={} zone={}",
-                          intent.name, intent.type, intent.zone);
+            spdlog::error(
+                "inherited request has an unknown type or zone: request={} type={} zone={}",
+                intent.name, intent.type, intent.zone);
             intent_log_.remove(role, intent.name);
             continue;
         }
@@ -139,7 +140,7 @@
                                 const cloud::ProvisionReply& reply, Millis now) {
     using Result = cloud::ProvisionReply::Result;
     if (provisioning_.on_reply(request, reply, now)) {
-        // A list that is read may be two lags old.
+        // A list may be up to twice the list lag old when it is read.
         const Millis list_age = seconds(2 * term_.settings().cloud_list_lag_s) + kListMargin;
         if (reply.result == Result::provisioned)
             answered_requests_.push_back({now + list_age, request});
@@ -148,7 +149,8 @@
     }
     const std::string& type = cluster_.types()[kind.type].name;
     if (reply.result == Result::malformed)
-        spdlog::error("the cloud calls the request malformed: request={} type={}", request, type);
+        spdlog::error("cloud rejected provisioning request as malformed: request={} type={}",
+                      request, type);
     for (const std::string& name : reply.machines) {
         if (cluster_.is_tombstoned(name)) continue;
         Machine* machine = cluster_.add_machine(name, now);
@@ -163,12 +165,12 @@
                                      Millis now) {
     instances_listed_ = true;
     for (const wire::CloudInstance& instance : instances) {
-        // The list lags behind the release of a machine.
-        if (!cluster_.is_tombstoned(instance.id)) take_in_listed(instance, now);
+        // The list may still contain machines that have been released.
+        if (!cluster_.is_tombstoned(instance.id)) update_listed_machine(instance, now);
     }
 }
 
-void Autoscaler::take_in_listed(const wire::CloudInstance& instance, Millis now) {
+void Autoscaler::update_listed_machine(const wire::CloudInstance& instance, Millis now) {
     Machine* machine = cluster_.machine(instance.id);
     if (machine == nullptr) {
         machine = cluster_.add_machine(instance.id, now);
@@ -188,8 +190,8 @@
     }
 }
 
-// A spot machine is cheap to keep. An ordinary one stays while it may be needed before another
-// boots.
+// Empty spot machines are cheap to keep. An on-demand machine is kept for long only if it is likely
+// to be needed before another machine could boot.
 Millis Autoscaler::idle_retention(const Machine& machine, Millis now) {
     const double boot_s =
         machine.type == kNone ? kUnknownBootS : cluster_.types()[machine.type].boot_s;
@@ -217,10 +219,11 @@
         names, term_.guarded([this, names](Millis at, bool ok) { on_released(names, ok, at); }));
 }
 
-// The machines that may be released now; the intent to release the others is put on record. A
-// release may be executed late, when a successor has placed work on the machine, so it is on record
-// first. Not needed where no successor would place anything: on what has failed, and on what its
-// own worker says is taken back. So these go even while the state service does not answer.
+// Returns the machines that may be released now and records the intent to release the others. A
+// release may be executed late, when the next leader has already placed work on the machine, so it
+// must be recorded first. This is not necessary for machines on which no leader places work: those
+// that have failed and those whose worker has announced their preemption. They are released even
+// while the state service is unavailable.
 std::vector<std::string> Autoscaler::releasable_machines() {
     std::vector<std::string> names;
     bool record_has_room = true;
@@ -242,7 +245,7 @@
         retry_release_at_ = now + kReleaseRetryDelay;
         return;
     }
-    // The reply proves them gone, and everything on them.
+    // The reply proves that the machines and the tasks on them no longer exist.
     for (const std::string& name : names) {
         if (Machine* machine = cluster_.machine(name)) cluster_.machine_gone(*machine, now);
     }
--- a/src/autoscaling/autoscaler.h
+++ b/src/autoscaling/autoscaler.h
@@ -1,5 +1,5 @@
 /// @file
-/// Scaling out and in: asks the cloud for machines that are needed and releases those that are not.
+/// Scales the cluster out and in: requests machines from the cloud and releases unneeded ones.
 #pragma once
 #include <deque>
 #include <string>
@@ -16,12 +16,13 @@
 
 namespace nickelramp::autoscaling {
 
-/// Carries out what ScaleOutPlan decides and what the cluster state marks for release. Every
-/// request is in the intent log before it is sent, so that a successor can repeat it. Lives as long
-/// as the leader's term, on the loop thread; the control loop calls it. It owns no sockets and
-/// reads no clock: requests go through the term's ServiceGateway, times are milliseconds of the
-/// steady clock. Requests that fail, or whose outcome is unknown, are repeated; nothing is reported
-/// as an error.
+/// Requests the machines that ScaleOutPlan asks for and releases those that the cluster state marks
+/// for release. Requests are recorded in the intent log before they are sent, so that the next
+/// leader can retry them. Only the release of a machine on which no leader places work needs no
+/// record. Requests that fail, or whose outcome is unknown, are retried and not
+/// reported as errors. The control loop calls the autoscaler on the loop thread for the duration of
+/// the leader's term. Requests go through the term's ServiceGateway. Times are milliseconds of the
+/// steady clock and are passed in.
 class Autoscaler {
   public:
     /// The references must outlive the autoscaler.
@@ -38,28 +39,29 @@
           intent_log_(intent_log),
           failure_detector_(failure_detector) {}
 
-    /// Packs jobs that found no place onto the machines that are coming, and asks for machines for
-    /// the rest. Does nothing until the cloud's list of machines has been read in this term.
-    /// @param unplaced most urgent first
-    /// @param shortage what the forecast of the queue lacks
+    /// Assigns unplaced jobs to machines that are being provisioned and requests machines for the
+    /// rest. Does nothing until the cloud's list of machines has been read in this term.
+    /// @param unplaced jobs without a placement, most urgent first
+    /// @param shortage capacity that the job queue's forecast lacks
     void scale_out(const std::vector<jobs::Job*>& unplaced,
                    const scheduling::JobQueue::CapacityShortage& shortage, Millis now);
-    /// The cloud's list of machines was read: takes in what it says.
+    /// Updates the cluster state from the cloud's list of machines.
     void on_instances_listed(const std::vector<wire::CloudInstance>& instances, Millis now);
-    /// Sets how many machines there may be in all: the controllers could not serve more workers.
+    /// Sets the limit on the total number of machines, given by how many workers the controllers
+    /// can serve.
     void set_max_machines(std::size_t max_machines) { max_machines_ = max_machines; }
-    /// How long the machine is kept when it is empty, in milliseconds.
+    /// Returns how long the machine is kept while it is empty.
     [[nodiscard]] Millis idle_retention(const machines::Machine& machine, Millis now);
-    /// Asks the cloud to release the machines that are marked for it, once that is on record.
+    /// Asks the cloud to release the machines that are marked for release. A release that must be
+    /// recorded first is sent once its intent is recorded.
     void send_releases(Millis now);
-    /// Repeats requests of unknown outcome that are due, and writes the intent log. Called each
+    /// Retries requests of unknown outcome that are due and writes the intent log. Called each
     /// tick.
     void run_due_work(Millis now);
-    /// Takes over what an earlier term has on record as under way.
+    /// Takes over the unfinished requests and releases that an earlier term recorded.
     void inherit_intents(lease::Role role,
                          const std::vector<autoscaling::ProvisioningIntent>& intents, Millis now);
-    /// Intents are on record by now: sends what they stand for. Called by the intent log's
-    /// listener.
+    /// Sends the requests whose intents have been recorded. Called by the intent log's listener.
     void on_intents_recorded(lease::Role role, const std::vector<std::string>& names, Millis now);
 
   private:
@@ -74,7 +76,7 @@
     void forget_oldest_answered_request();
     void on_provisioned(const std::string& request, const cloud::MachineKind& kind,
                         const cloud::ProvisionReply& reply, Millis now);
-    void take_in_listed(const wire::CloudInstance& instance, Millis now);
+    void update_listed_machine(const wire::CloudInstance& instance, Millis now);
     [[nodiscard]] std::vector<std::string> releasable_machines();
     void on_released(const std::vector<std::string>& names, bool ok, Millis now);
 
@@ -86,10 +88,11 @@
     cloud::ProvisioningTracker& provisioning_;
     autoscaling::IntentLog& intent_log_;
     const failure::FailureDetector& failure_detector_;
-    // Answered requests stay on record until every list of the cloud has their machines: a
-    // successor learns of them by the same name instead of asking for as many again.
+    // Answered requests stay recorded until every list from the cloud contains their machines.
+    // Until then, the next leader learns of the machines by repeating the request under the same
+    // name and does not request as many again.
     std::deque<AnsweredRequest> answered_requests_;
-    bool instances_listed_ = false;  // the cloud's list has been read in this term
+    bool instances_listed_ = false;  // whether the cloud's list was read in this term
     std::size_t max_machines_ = SIZE_MAX;
     bool release_in_flight_ = false;
     Millis retry_release_at_ = 0;
