--- a/src/autoscaling/intent_log.cpp
+++ b/src/autoscaling/intent_log.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 constexpr Millis kWriteInterval = 1'000;  // between writes of one record
-constexpr Millis kRemovalDelay = 2'000;   // that a removal waits for others to go with it
+constexpr Millis kRemovalDelay = 2'000;   // so that removals are written in batches
 constexpr Millis kRetryDelay = 250;
-constexpr std::size_t kEntryBytes = 24;  // of an entry beyond its texts
-// Of state_value_kb; the rest is for what surrounds the entries.
+constexpr std::size_t kEntryBytes = 24;  // of an entry without its strings
+// The part of state_value_kb that the entries may take. The rest is for the enclosing structure.
 constexpr std::size_t kEntriesNumerator = 3, kEntriesDenominator = 4;
 constexpr std::size_t kRequestFields = 5;
 constexpr std::uint32_t kMaxCount = 100'000;
@@ -84,8 +84,8 @@
                                                 const wire::Json& value, std::uint64_t version) {
     auto intents = decode_intents(role, value);
     if (!intents) {
-        // What it named is found by the cloud's list; the record is left for an operator to look
-        // at.
+        // The machines it names are found in the cloud's list. The record is kept for inspection by
+        // an operator.
         spdlog::error("intent record cannot be read: key={}", key);
         return {};
     }
@@ -150,7 +150,8 @@
     Record& source = record(role);
     const std::string key = intent_key(role, term_.info().number);
     kvstore::Transaction transaction;
-    // Boots take longer than anything that this could hold up.
+    // Sent with high priority, since provisioning waits for it and a boot takes longer than any
+    // request that this could delay.
     transaction.request_class = kvstore::RequestClass::election;
     transaction.conditions = term_.conditions(role);
     transaction.conditions.push_back({key, source.version});
@@ -160,8 +161,9 @@
         intents.push_back(entry.intent);
         if (!entry.recorded) new_names.push_back(name);
     }
-    // Never deleted while the term lasts, and written after every unknown outcome: a late
-    // transaction on condition that there is no record would bring back what is settled.
+    // The record is never deleted during the term and is written again after every unknown outcome.
+    // Otherwise a delayed transaction, on condition that no record exists, could restore intents
+    // that have been answered.
     transaction.writes.push_back({key, encode_intents(role, intents)});
     std::size_t deleted = 0;
     for (const kvstore::Condition& inherited : source.inherited_records) {
@@ -173,7 +175,7 @@
     source.write_in_flight = true;
     source.next_write_at = now + kWriteInterval;
     source.cleanup_at = 0;
-    source.state = State::clean;  // what changes from here on is for the next write
+    source.state = State::clean;  // later changes go into the next write
     term_.gateway().commit(std::move(transaction),
                            term_.guarded([this, role, new_names, deleted](
                                              Millis at, const kvstore::CommitReply& reply) {
@@ -220,7 +222,7 @@
     std::vector<std::string> recorded;
     for (const std::string& name : names) {
         auto it = target.entries.find(name);
-        if (it == target.entries.end()) continue;  // answered meanwhile
+        if (it == target.entries.end()) continue;  // answered in the meantime
         it->second.recorded = true;
         recorded.push_back(name);
     }
@@ -235,7 +237,8 @@
     if (reply.status != kvstore::Status::refused) target.uncertain = true;
     if (reply.status != kvstore::Status::conflict || term_.check_superseded(reply)) return;
     term_.note_rejected_role_fences(reply);
-    // A record of an earlier term that has gone since, or that a late write had deleted already.
+    // Drops records of earlier terms that have changed or been deleted, for example by a delayed
+    // write.
     std::erase_if(target.inherited_records, [&](const kvstore::Condition& inherited) {
         return std::find(reply.failed_conditions.begin(), reply.failed_conditions.end(),
                          inherited.key) != reply.failed_conditions.end();
--- a/src/autoscaling/intent_log.h
+++ b/src/autoscaling/intent_log.h
@@ -1,14 +1,15 @@
 /// @file
-/// Write-ahead record of what is about to be asked of the cloud. The cloud may execute a request or
-/// a release late, when whoever sent it has been replaced:
+/// Write-ahead log of provisioning requests and releases that are about to be sent to the cloud.
+/// The cloud may execute them late, after the controller that sent them has been replaced. The
+/// records have this form:
 ///
 ///     intent/<role>/<term>  {intents: [[name, ...], ...]}
 ///
-/// A machine named under `returning` is on its way out: a successor places nothing on it and
-/// repeats the release until it is answered, so that a late one finds nothing to destroy. A request
-/// named under `renting` is repeated by its name, which provisions nothing new and returns exactly
-/// its machines. Each term has records of its own and takes over those before it. They are bounded
-/// in size, and each is written once a second at the most.
+/// A machine named under `returning` is being released. The next leader places nothing on it and
+/// repeats the release until it is answered, so that a late execution destroys no work. A request
+/// named under `renting` is repeated under its name, which provisions nothing new and returns
+/// exactly its machines. Each term has its own records and takes over those of earlier terms.
+/// Records are bounded in size, and each is written at most once a second.
 #pragma once
 #include <map>
 #include <string>
@@ -22,46 +23,48 @@
 namespace nickelramp::autoscaling {
 
 inline constexpr const char* kIntentKeyPrefix = "intent/";
-/// The key of a term's record for a role (scale_out or scale_in).
+/// Returns the key of a term's record for a role (scale_out or scale_in).
 std::string intent_key(lease::Role role, std::uint64_t term);
-/// Role and term of a record's key; nothing if the key has another form.
+/// Returns the role and term of a record's key, or std::nullopt if the key has another form.
 std::optional<std::pair<lease::Role, std::uint64_t>> parse_intent_key(const std::string& key);
 
 using cloud::ProvisioningIntent;
 
-/// The stored form of a record.
+/// Encodes a record in its stored form.
 wire::Json encode_intents(lease::Role role, const std::vector<ProvisioningIntent>& intents);
-/// Reads the stored form; nothing if it is malformed.
+/// Decodes a stored record. Returns std::nullopt if it is malformed.
 std::optional<std::vector<ProvisioningIntent>> decode_intents(lease::Role role,
                                                               const wire::Json& value);
 
-/// The intents of one term, for scaling out and for scaling in. Lives as long as the leader's term,
-/// on the loop thread; the autoscaler adds and removes intents, and the control loop loads those of
-/// earlier terms. Transactions go through the term's ServiceGateway; one that fails is repeated.
+/// The intents of one term, for scaling out and for scaling in. The autoscaler adds and removes
+/// intents, and the control loop loads those of earlier terms. Used on the loop thread for the
+/// duration of the leader's term. Transactions go through the term's ServiceGateway and are retried
+/// if they fail.
 class IntentLog {
   public:
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// These are on record from now on, and may be sent; in the order in which they were added.
+        /// Called when intents have been recorded, so that their requests may be sent. `names` is
+        /// in the order in which the intents were added.
         virtual void on_intents_recorded(lease::Role role, const std::vector<std::string>& names,
                                          Millis now) = 0;
     };
     /// Both must outlive the log.
     IntentLog(cluster::TermContext& term, Listener& listener) : term_(term), listener_(listener) {}
 
-    /// Takes over an earlier term's record. What it names counts as on record.
-    /// @return the intents; none, with an error in the log, if the record cannot be read.
+    /// Takes over an earlier term's record. Its intents count as recorded.
+    /// @return the intents. Empty, after logging an error, if the record cannot be read.
     std::vector<ProvisioningIntent> load(lease::Role role, const std::string& key,
                                          const wire::Json& value, std::uint64_t version);
-    /// Adds an intent, to be written with the next write().
-    /// @return false if the record has no room now.
+    /// Adds an intent, which the next write() records.
+    /// @return false if the record is full.
     [[nodiscard]] bool add(lease::Role role, ProvisioningIntent intent);
     [[nodiscard]] bool is_recorded(lease::Role role, const std::string& name) const;
-    /// The intent was answered: nothing of it is under way that could still do harm.
+    /// Removes an intent that was answered: no execution of it that could do harm is outstanding.
     void remove(lease::Role role, const std::string& name);
-    /// Writes what is due, while the lease is confirmed and somebody holds the role. Called each
-    /// tick.
+    /// Writes the records that are due, while the lease is confirmed and a holder of the role is
+    /// known. Called each tick.
     void write(Millis now);
     [[nodiscard]] std::size_t size(lease::Role role) const { return record(role).entries.size(); }
 
@@ -69,12 +72,12 @@
     struct Entry {
         ProvisioningIntent intent;
         bool recorded = false;
-        std::uint64_t order = 0;  // in which they came: by need
+        std::uint64_t order = 0;  // of insertion, most urgent first
     };
     enum class State {
-        clean,          // as written
-        has_removals,   // it only lost entries: that can wait
-        has_additions,  // it has entries that may not be sent yet
+        clean,          // no unwritten changes
+        has_removals,   // entries were removed, whose write may be delayed
+        has_additions,  // entries were added, which must be written before they are sent
     };
     struct Record {
         State state = State::clean;
@@ -84,9 +87,9 @@
         std::vector<kvstore::Condition> inherited_records;  // of earlier terms, to be deleted
         std::uint64_t version = 0;
         bool write_in_flight = false;
-        bool uncertain = false;  // the outcome of a write is unknown: read before the next
+        bool uncertain = false;  // a write's outcome is unknown, so read before the next write
         Millis next_write_at = 0;
-        Millis cleanup_at = 0;  // when removals are written; 0: not set yet
+        Millis cleanup_at = 0;  // when removals are written, 0 if not set yet
     };
     [[nodiscard]] Record& record(lease::Role role) {
         return records_[role == lease::Role::scale_in ? 1 : 0];
