--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -13,10 +13,11 @@
 using scheduling::ZoneTaskCounts;
 
 namespace {
-constexpr std::size_t kMaxLimitedRequests = 400;  // machines in one round, but whole ones for gangs
-constexpr std::uint32_t kMaxSlotsPriced = 64;     // of a machine, when prices are compared
-constexpr std::uint32_t kMaxReplicaSlots = 1024;  // of a machine
-constexpr double kZoneBalanceWeight = 0.001;      // of the price, for each machine in the zone
+// Machines in one round. Whole machines for expected urgent tasks do not count.
+constexpr std::size_t kMaxLimitedRequests = 400;
+constexpr std::uint32_t kMaxSlotsPriced = 64;     // per machine, when prices are compared
+constexpr std::uint32_t kMaxReplicaSlots = 1024;  // per machine
+constexpr double kZoneBalanceWeight = 0.001;      // fraction of the price per machine in the zone
 }  // namespace
 
 ScaleOutPlan::ScaleOutPlan(const cluster::TermContext& term, cluster::ClusterState& cluster,
@@ -36,12 +37,12 @@
     machines_by_zone_.resize(cluster_.zones().size());
 }
 
-// Machines for gangs and replicas that are likely to come are set aside before jobs that may use
-// spot machines are packed: arrays would take them, and as many more would be asked for the next
-// time, and the next.
+// Machines for expected gangs and replicas are set aside before jobs that may use spot machines are
+// packed. Otherwise arrays would be packed onto them, and each later round would request as many
+// machines again.
 std::vector<MachineDemand> ScaleOutPlan::make(
     const std::vector<Job*>& unplaced, const scheduling::JobQueue::CapacityShortage& shortage) {
-    add_coming_machines();
+    add_provisioning_machines();
     plan_jobs(unplaced, false);
     plan_whole_machines();
     plan_replica_headroom();
@@ -51,10 +52,10 @@
     return requests_;
 }
 
-void ScaleOutPlan::add_coming_machines() {
+void ScaleOutPlan::add_provisioning_machines() {
     for (const Index index : cluster_.provisioning_machines()) {
         const Machine& machine = *cluster_.machine_by_index(index);
-        if (is_coming(machine)) add_machine({machine.type, machine.zone, machine.spot});
+        if (is_still_expected(machine)) add_machine({machine.type, machine.zone, machine.spot});
     }
     for (const auto& [name, request] : provisioning_.requests()) {
         for (std::uint32_t n = 0; n < request.count; ++n) add_machine(request.kind);
@@ -65,9 +66,9 @@
     machines_.push_back({kind, FreeResources::of(cluster_.types()[kind.type])});
 }
 
-bool ScaleOutPlan::is_coming(const Machine& machine) const {
+bool ScaleOutPlan::is_still_expected(const Machine& machine) const {
     if (machine.type == kNone || machine.unverified) return false;
-    if (failure_detector_.is_lost(machine.zone)) return false;  // nothing can start there for now
+    if (failure_detector_.is_lost(machine.zone)) return false;  // no task can start there now
     if (machine.state == machines::MachineState::joining) return true;
     const double boot_s = cluster_.types()[machine.type].boot_s;
     return now_ - machine.provisioned_at <= seconds(boot_s * kLateBootFactor);
@@ -100,7 +101,8 @@
     remove_full_machines();
 }
 
-// Nothing for a gang that its team's quota leaves too little for: more machines would not help it.
+// Returns std::nullopt for a gang that exceeds its team's remaining quota, since more machines
+// would not help it.
 std::optional<ScaleOutPlan::JobRequirement> ScaleOutPlan::requirement_of(const Job& job) const {
     const std::uint32_t tasks = std::min(job.placeable_tasks(), rules_.tasks_within_limit(job));
     if (job.is_gang() && tasks < job.spec.tasks) return std::nullopt;
@@ -114,7 +116,7 @@
                           ZoneTaskCounts(job, std::move(tasks_by_zone))};
 }
 
-// Slots that running array tasks leave before a machine could boot need no machine.
+// Subtracts the tasks that can use slots freed by running array tasks before a machine could boot.
 void ScaleOutPlan::subtract_slots_freed_soon(JobRequirement& requirement) {
     const Job& job = *requirement.job;
     for (Index type = 0; type < slots_freed_soon_.size() && type < job.allowed_type.size();
@@ -126,9 +128,9 @@
     }
 }
 
-// A gang bound to one zone is packed into the zone that already has most room coming, of those
-// where the rest can be had: in a zone without another machine it would be waited for as long as
-// that room lasts.
+// Chooses the zone with the most slots on free machines and on machines being provisioned, among
+// the zones where the remaining machines can be requested. In a zone without further machines, the
+// gang would wait for as long as those slots stay free.
 void ScaleOutPlan::choose_gang_zone(JobRequirement& requirement) const {
     const std::vector<std::uint32_t> slots = slots_by_zone(requirement);
     if (*std::max_element(slots.begin(), slots.end()) == 0) return;
@@ -156,7 +158,7 @@
     return slots;
 }
 
-// Puts as many of the tasks on the machine as fit and may go there.
+// Assigns as many of the tasks to the machine as fit and are allowed there.
 void ScaleOutPlan::pack(JobRequirement& requirement, PlannedMachine& machine) const {
     const Job& job = *requirement.job;
     const MachineKind& kind = machine.kind;
@@ -181,31 +183,31 @@
     });
 }
 
-// Whole machines for tasks that are likely to come and can't wait for a boot.
+// Plans whole machines for expected tasks that cannot wait for a machine to boot.
 void ScaleOutPlan::plan_whole_machines() {
     const std::vector<TypeDemand>& demand = forecast_.demand();
     for (Index type = 0; type < demand.size(); ++type) {
         auto missing = static_cast<std::size_t>(forecast_.wanted_urgent_machines(type, now_));
         missing -= std::min(missing, demand[type].available_for_whole_machine_tasks);
-        missing -= set_aside_untouched(type, missing);
+        missing -= set_aside_unassigned(type, missing);
         for (; missing > 0; --missing) {
-            const std::optional<MachineKind> kind = in_emptiest_zone(type, false);
+            const std::optional<MachineKind> kind = kind_in_emptiest_zone(type, false);
             if (!kind) break;
             request(*kind);
         }
     }
 }
 
-// Takes up to `wanted` ordinary machines that nothing is packed on out of the plan.
-// @return how many it took.
-std::size_t ScaleOutPlan::set_aside_untouched(Index type, std::size_t wanted) {
+// Removes up to `wanted` on-demand machines without assigned tasks from the plan and returns how
+// many were removed.
+std::size_t ScaleOutPlan::set_aside_unassigned(Index type, std::size_t wanted) {
     const wire::MachineType& machine_type = cluster_.types()[type];
     std::size_t taken = 0;
     std::erase_if(machines_, [&](const PlannedMachine& machine) {
-        const bool untouched = machine.kind.type == type && !machine.kind.spot &&
-                               machine.free.gpus >= machine_type.gpus &&
-                               machine.free.cpus >= machine_type.cpus;
-        if (!untouched || taken == wanted) return false;
+        const bool unassigned = machine.kind.type == type && !machine.kind.spot &&
+                                machine.free.gpus >= machine_type.gpus &&
+                                machine.free.cpus >= machine_type.cpus;
+        if (!unassigned || taken == wanted) return false;
         ++taken;
         return true;
     });
@@ -216,19 +218,19 @@
     const ReplicaHeadroom& headroom = forecast_.replica_headroom();
     if (headroom.type == kNone) return;
     double missing = forecast_.wanted_replica_slots(now_) - headroom.free_slots;
-    missing = use_planned_for_replicas(missing);
+    missing = set_aside_replica_slots(missing);
     const std::uint32_t slots_per_machine = FreeResources::of(cluster_.types()[headroom.type])
                                                 .tasks_that_fit(headroom.need, kMaxReplicaSlots);
     for (; missing > 0 && !limit_reached(); missing -= slots_per_machine) {
-        const std::optional<MachineKind> kind = in_emptiest_zone(headroom.type, false);
+        const std::optional<MachineKind> kind = kind_in_emptiest_zone(headroom.type, false);
         if (!kind) break;
         request_limited(*kind);
     }
 }
 
-// Sets slots on ordinary, not expensive planned machines aside for replicas.
-// @return how many of the wanted slots are missing yet.
-double ScaleOutPlan::use_planned_for_replicas(double wanted_slots) {
+// Sets aside slots for replicas on planned on-demand machines that are not expensive. Returns how
+// many of the wanted slots are still missing.
+double ScaleOutPlan::set_aside_replica_slots(double wanted_slots) {
     const ReplicaHeadroom& headroom = forecast_.replica_headroom();
     for (PlannedMachine& machine : machines_) {
         if (wanted_slots <= 0) break;
@@ -243,7 +245,7 @@
     return wanted_slots;
 }
 
-// Expensive machines for arrays, as many as the forecast of the queue lacks.
+// Plans expensive machines for arrays, up to the shortage in the job queue's forecast.
 void ScaleOutPlan::plan_expensive_machines(const scheduling::JobQueue::CapacityShortage& shortage) {
     if (shortage.job == kNone || cluster_.job_by_index(shortage.job) == nullptr) return;
     const Job& job = *cluster_.job_by_index(shortage.job);
@@ -264,7 +266,7 @@
     }
 }
 
-// Spot machines are cheap: room for what is likely to come is there before it comes.
+// Plans spot machines for expected tasks ahead of need, since they are cheap.
 void ScaleOutPlan::plan_spot_machines() {
     if (term_.options().use_spot == 0) return;
     const std::vector<TypeDemand>& demand = forecast_.demand();
@@ -276,14 +278,14 @@
                 missing -= machine.free.cpus / std::max(1.0, cluster_.types()[type].cpus);
         }
         for (; missing >= 1 && !limit_reached(); missing -= 1) {
-            const std::optional<MachineKind> kind = in_emptiest_zone(type, true);
+            const std::optional<MachineKind> kind = kind_in_emptiest_zone(type, true);
             if (!kind) break;
             request_limited(*kind);
         }
     }
 }
 
-// The kind that costs least for a task of the job, of those that the cloud has not just refused.
+// Returns the kind with the lowest cost per task of the job, without kinds that are backing off.
 std::optional<MachineKind> ScaleOutPlan::cheapest_kind(const JobRequirement& requirement,
                                                        Index required_zone,
                                                        PriceLimit limit) const {
@@ -323,9 +325,9 @@
     return !provisioning_.is_backing_off(kind, now_);
 }
 
-// In the zone with fewest machines, of those where the cloud has not just refused; nothing if it
-// has refused everywhere.
-std::optional<MachineKind> ScaleOutPlan::in_emptiest_zone(Index type, bool spot) const {
+// Returns the kind in the zone with the fewest machines. Zones that are lost or where the kind is
+// backing off are skipped. Returns std::nullopt if no zone remains.
+std::optional<MachineKind> ScaleOutPlan::kind_in_emptiest_zone(Index type, bool spot) const {
     std::optional<MachineKind> emptiest;
     for (const std::string& zone_name : cluster_.types()[type].zones) {
         const MachineKind kind{type, cluster_.zones().find(zone_name), spot};
@@ -345,10 +347,10 @@
     ++machines_by_zone_[kind.zone];
 }
 
-// Asked before a kind is looked for: the search costs far more.
+// Checked before searching for a kind, which costs far more.
 bool ScaleOutPlan::limit_reached() const { return limited_request_count_ >= kMaxLimitedRequests; }
 
-// A request that counts against the limit of one round.
+// Requests a machine that counts towards the limit of one round.
 void ScaleOutPlan::request_limited(const MachineKind& kind) {
     ++limited_request_count_;
     request(kind);
--- a/src/autoscaling/scale_out_plan.h
+++ b/src/autoscaling/scale_out_plan.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides which machines to ask the cloud for in one round of scaling out.
+/// Decides which machines to request from the cloud in one round of scaling out.
 #pragma once
 #include <optional>
 #include <vector>
@@ -15,56 +15,58 @@
 
 namespace nickelramp::autoscaling {
 
-/// A machine that has not come after so many of its type's boot times is no longer counted on.
+/// Multiple of its type's boot time after which a booting machine is no longer expected.
 inline constexpr double kLateBootFactor = 1.7;
 
-/// So many machines of a kind that are to be asked for.
+/// A number of machines of one kind to request.
 struct MachineDemand {
     cloud::MachineKind kind;
     std::uint32_t count = 0;
 };
 
-/// One round of scaling out: packs what found no place onto the machines that are coming, and adds
+/// One round of scaling out. Assigns unplaced jobs to machines that are being provisioned, and adds
 /// machines for the rest and for work that is expected before another machine could boot. Reads the
-/// cluster state and the forecast; asks nobody for anything. Autoscaler::scale_out makes one, calls
-/// make() once and sends what it returns.
+/// cluster state and the forecast and sends nothing. Autoscaler::scale_out creates a plan, calls
+/// make() once and requests the machines that it returns.
 class ScaleOutPlan {
   public:
-    /// The references must outlive the plan. `now`: milliseconds of the steady clock.
+    /// The references must outlive the plan.
+    /// @param now milliseconds of the steady clock
     ScaleOutPlan(const cluster::TermContext& term, cluster::ClusterState& cluster,
                  forecast::DemandForecast& forecast, const scheduling::PlacementRules& rules,
                  const cloud::ProvisioningTracker& provisioning,
                  const failure::FailureDetector& failure_detector, Millis now);
 
-    /// @param unplaced the jobs that found no place, most urgent first
-    /// @param shortage what the forecast of the queue lacks
-    /// @return the machines to ask for, the most urgent first: the cloud takes few calls
+    /// @param unplaced jobs without a placement, most urgent first
+    /// @param shortage capacity that the job queue's forecast lacks
+    /// @return the machines to request, most urgent first, since the cloud limits the request rate
     [[nodiscard]] std::vector<MachineDemand> make(
         const std::vector<jobs::Job*>& unplaced,
         const scheduling::JobQueue::CapacityShortage& shortage);
 
   private:
-    /// A machine that is coming or that this plan asks for, with what the plan has left free on it.
+    /// A machine that is being provisioned or that this plan requests, with its resources that the
+    /// plan has not assigned yet.
     struct PlannedMachine {
         cloud::MachineKind kind;
         scheduling::FreeResources free;
     };
-    /// What a job still needs, while it is packed.
+    /// The part of a job's demand that has not been assigned to machines yet.
     struct JobRequirement {
         const jobs::Job* job;
         placement::Need need;
-        std::uint32_t tasks;  // without a machine yet
-        Index zone;           // the only one that they may go to; kNone: any
+        std::uint32_t tasks;  // not yet assigned to a machine
+        Index zone;           // required zone, or kNone for any
         scheduling::ZoneTaskCounts zone_tasks;
     };
     enum class PriceLimit { not_expensive, any };
 
-    // What is coming.
-    void add_coming_machines();
+    // Machines being provisioned.
+    void add_provisioning_machines();
     void add_machine(const cloud::MachineKind& kind);
-    [[nodiscard]] bool is_coming(const machines::Machine& machine) const;
+    [[nodiscard]] bool is_still_expected(const machines::Machine& machine) const;
 
-    // What the jobs need.
+    // Demand of the unplaced jobs.
     void plan_jobs(const std::vector<jobs::Job*>& unplaced, bool spot);
     void plan_job(const jobs::Job& job);
     [[nodiscard]] std::optional<JobRequirement> requirement_of(const jobs::Job& job) const;
@@ -74,21 +76,22 @@
     void pack(JobRequirement& requirement, PlannedMachine& machine) const;
     void remove_full_machines();
 
-    // What is expected.
+    // Expected demand.
     void plan_whole_machines();
-    [[nodiscard]] std::size_t set_aside_untouched(Index type, std::size_t wanted);
+    [[nodiscard]] std::size_t set_aside_unassigned(Index type, std::size_t wanted);
     void plan_replica_headroom();
-    [[nodiscard]] double use_planned_for_replicas(double wanted_slots);
+    [[nodiscard]] double set_aside_replica_slots(double wanted_slots);
     void plan_expensive_machines(const scheduling::JobQueue::CapacityShortage& shortage);
     void plan_spot_machines();
 
-    // Which kind and zone, and the requests.
+    // Choice of kind and zone, and requests.
     [[nodiscard]] std::optional<cloud::MachineKind> cheapest_kind(const JobRequirement& requirement,
                                                                   Index required_zone,
                                                                   PriceLimit limit) const;
     [[nodiscard]] bool may_request(const jobs::Job& job, const cloud::MachineKind& kind,
                                    PriceLimit limit) const;
-    [[nodiscard]] std::optional<cloud::MachineKind> in_emptiest_zone(Index type, bool spot) const;
+    [[nodiscard]] std::optional<cloud::MachineKind> kind_in_emptiest_zone(Index type,
+                                                                          bool spot) const;
     void request(const cloud::MachineKind& kind);
     [[nodiscard]] bool limit_reached() const;
     void request_limited(const cloud::MachineKind& kind);
@@ -102,8 +105,8 @@
     const Millis now_;
     std::vector<PlannedMachine> machines_;
     std::vector<MachineDemand> requests_;
-    std::vector<std::uint32_t> machines_by_zone_;  // with those that the plan asks for
-    std::vector<std::uint32_t> slots_freed_soon_;  // by type; arrays may count on them
+    std::vector<std::uint32_t> machines_by_zone_;  // including requested machines
+    std::vector<std::uint32_t> slots_freed_soon_;  // by type, available to arrays
     std::size_t limited_request_count_ = 0;
 };
 
