--- a/src/autoscaling/rebalancer.cpp
+++ b/src/autoscaling/rebalancer.cpp
@@ -16,10 +16,10 @@
 using placement::Need;
 
 namespace {
-constexpr Millis kMinRunTime = 31'000;      // replicas that have run so long may be moved
-constexpr Millis kCordonDuration = 30'000;  // a machine that is being emptied gets nothing new
+constexpr Millis kMinRunTime = 31'000;      // after which a replica may be moved
+constexpr Millis kCordonDuration = 30'000;  // of a machine whose replicas are being moved
 constexpr Millis kRunInterval = 1'000;
-constexpr double kWorthAMove = 1.5;  // so much cheaper is worth the interruption of a replica
+constexpr double kMinCostRatioToMove = 1.5;  // that justifies interrupting a replica
 constexpr std::size_t kMaxMachinesPerRun = 40;
 }  // namespace
 
@@ -28,8 +28,8 @@
     next_run_at_ = now + kRunInterval;
     if (replicas_are_waiting()) return;
     std::vector<char> zone_done(cluster_.zones().size());
-    // Two machines must not be emptied onto the same slots: replicas of the second had none left
-    // and waited for a boot.
+    // Two machines must not be emptied onto the same slots. Otherwise the replicas of the second
+    // find no slots and wait for a machine to boot.
     PlannedUse planned;
     for (Machine* machine : machines_to_empty(now)) {
         if (zone_done[machine->zone] == 0 && move_replicas(*machine, planned, now))
@@ -45,7 +45,7 @@
     });
 }
 
-// The machines whose replicas are worth moving, the most expensive and emptiest first.
+// Returns the machines whose replicas may be moved, the most expensive and emptiest first.
 std::vector<Machine*> Rebalancer::machines_to_empty(Millis now) const {
     std::vector<Machine*> machines;
     cluster_.free_capacity().for_each_candidate(
@@ -66,9 +66,10 @@
     return machines;
 }
 
-// Can all replicas on this machine go on elsewhere at once? Then they do: with the image there, a
-// move takes no longer than a few messages. From an expensive machine to a cheap one each goes by
-// itself, and may fetch its image for as long as its users wait for a start.
+// Stops the replicas to be moved and returns whether there were any. If all replicas on the machine
+// can continue elsewhere immediately, all of them move. Where the image is present, a move takes no
+// longer than a few messages. From an expensive machine to a cheap one, replicas move individually,
+// and fetching the image may take as long as the class's objective allows for a start.
 bool Rebalancer::move_replicas(Machine& from, PlannedUse& planned, Millis now) {
     PlannedUse planned_with_moves = planned;
     const std::vector<Move> moves = plan_moves(from, planned_with_moves, now);
@@ -118,7 +119,7 @@
     std::optional<Target> best;
     for (Machine* machine : rules_.fitting_machines(job, placement::need_of(job), now)) {
         if (machine == &from || machine->reserved_for != kNone) continue;
-        if (now < machine->cordoned_until) continue;  // it is being emptied itself
+        if (now < machine->cordoned_until) continue;  // its own replicas are being moved
         if (job.spec.spread && job.spec.tasks > 1 && machine->zone != from.zone) continue;
         const std::optional<Target> target = target_on(*machine, job, from, planned[machine]);
         if (target && (!best || target->rank < best->rank)) best = target;
@@ -126,7 +127,8 @@
     return best;
 }
 
-// Nothing if the replica had better stay where it is than go to this machine.
+// Returns std::nullopt if the machine is no better for the replica than its present one, or cannot
+// start it soon enough.
 std::optional<Rebalancer::Target> Rebalancer::target_on(Machine& machine, const Job& job,
                                                         const Machine& from,
                                                         const Need& planned_use) const {
@@ -142,21 +144,23 @@
     return Target{&machine, improvement, {!cheaper, fetch_s, free_amount}};
 }
 
-// Is the other machine a better place to stay for a replica? Cheaper by a good part, or fuller.
+// Returns whether and why the other machine is better for a replica: considerably cheaper, or
+// fuller at a similar cost.
 Rebalancer::Improvement Rebalancer::improvement_for(const Job& job, const Machine& from,
                                                     const Machine& to) {
     const double cost_here = job.relative_cost_of(from.type, from.spot);
     const double cost_there = job.relative_cost_of(to.type, to.spot);
-    if (cost_there * kWorthAMove <= cost_here) return Improvement::cheaper_machine;
-    if (to.empty() || cost_here * kWorthAMove <= cost_there) return Improvement::none;
-    // Only to fuller ones, or two machines would be emptied onto each other.
+    if (cost_there * kMinCostRatioToMove <= cost_here) return Improvement::cheaper_machine;
+    if (to.empty() || cost_here * kMinCostRatioToMove <= cost_there) return Improvement::none;
+    // Replicas move to fuller machines only. Otherwise two machines could be emptied onto each
+    // other.
     const bool fuller = job.spec.gpus > 0
                             ? to.gpus_free <= from.gpus_free + placement::kFitTolerance
                             : to.cpus_free <= from.cpus_free + placement::kFitTolerance;
     return fuller ? Improvement::fuller_machine : Improvement::none;
 }
 
-// How long the users of its class may wait for a start at the most, by the operators' objectives.
+// Returns the longest time to start that the operators' objectives allow the job's class.
 double Rebalancer::max_start_wait_s(const Job& job) const {
     double longest = 0;
     for (const wire::Objective& objective : term_.settings().objectives) {
--- a/src/autoscaling/rebalancer.h
+++ b/src/autoscaling/rebalancer.h
@@ -11,11 +11,11 @@
 
 namespace nickelramp::autoscaling {
 
-/// Replicas that are spread thinly keep whole machines from gangs and from being released, and
-/// those on expensive machines pay for what they do not use. The rebalancer stops replicas that can
-/// start again at once on a better machine, and cordons the machine that they leave; the scheduler
-/// then places them. The leader's control loop calls it each tick, on the loop thread; it reads no
-/// clock, and nothing fails.
+/// Replicas that are spread over many machines keep those machines from being used by gangs and
+/// from being released, and replicas on expensive machines pay for capacity that they do not use.
+/// The rebalancer stops replicas that can start again immediately on a better machine and cordons
+/// the machine that they leave. The scheduler then places them again. The leader's control loop
+/// calls it each tick, on the loop thread.
 class Rebalancer {
   public:
     /// The references must outlive the rebalancer.
@@ -23,8 +23,9 @@
                const scheduling::PlacementRules& rules)
         : term_(term), cluster_(cluster), rules_(rules) {}
 
-    /// Empties at most one machine in each zone, once a second, while the lease is confirmed and no
-    /// replica waits for a place. `now`: milliseconds of the steady clock.
+    /// Moves replicas off at most one machine in each zone, once a second, while the lease is
+    /// confirmed and no replica is waiting to be placed.
+    /// @param now milliseconds of the steady clock
     void consolidate(Millis now);
 
   private:
@@ -33,11 +34,11 @@
         jobs::Attempt* attempt;
         Improvement improvement;
     };
-    /// Lower is better, by field.
+    /// Compared field by field. Lower is better.
     struct TargetRank {
         bool same_price = false;
         double fetch_s = 0;
-        double free = 0;  // gpus, or cpus for replicas without gpus
+        double free = 0;  // GPUs, or CPUs for replicas without GPUs
         auto operator<=>(const TargetRank&) const = default;
     };
     struct Target {
@@ -45,7 +46,7 @@
         Improvement improvement;
         TargetRank rank;
     };
-    /// What planned moves will take of each machine.
+    /// Resources that planned moves will use on each machine.
     using PlannedUse = std::map<machines::Machine*, placement::Need>;
 
     [[nodiscard]] static Improvement improvement_for(const jobs::Job& job,
