--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 constexpr Millis kCallTimeout = 4'000;
-constexpr Millis kUnreachableAfter = 10'000;  // two calls that time out, and some
+constexpr Millis kUnreachableAfter = 10'000;  // longer than two timed-out calls
 constexpr int kMaxConnections = 6;
 constexpr std::size_t kMaxWaiting = 16;
-constexpr int kMaxConsecutiveChanges = 5;  // while a list waits
-constexpr double kRateShare = 0.8;         // other controllers ask for machine types now and then
-constexpr double kBurstS = 2;  // seconds' worth of requests that the cloud allows at once
+constexpr int kMaxConsecutiveChanges = 5;  // while a list is queued
+constexpr double kRateShare = 0.8;         // other controllers also list machine types
+constexpr double kBurstS = 2;              // seconds of requests that the cloud allows at once
 constexpr int kStatusOk = 200, kStatusBadRequest = 400, kStatusUnavailable = 503;
 
-// What became of a provision request, as far as the HTTP reply tells.
+// Derives the result of a provisioning request from the HTTP reply.
 ProvisionReply provision_reply(const net::ClientReply& reply) {
     using Result = ProvisionReply::Result;
     using Outcome = net::ClientReply::Outcome;
@@ -24,7 +24,8 @@
     if (reply.status == kStatusOk) {
         auto names = body ? wire::decode_provision_reply(*body) : std::nullopt;
         if (names) return {Result::provisioned, std::move(*names)};
-        // Executed, and not understood: the same name gets the same answer.
+        // Executed, but the reply is malformed. Retrying under the same name returns the same
+        // machines.
         return {Result::unknown, {}};
     }
     if (reply.status == kStatusBadRequest) return {Result::malformed, {}};
@@ -45,16 +46,16 @@
 
 bool CloudClient::has_queued() const { return !change_queue_.empty() || !list_queue_.empty(); }
 
-// The queues are short: callers have one list of machines, one list of types, one release and a few
-// requests under way.
+// The queues are short, since callers have at most one list of machines, one list of types, one
+// release and a few provisioning requests in flight.
 void CloudClient::submit(std::deque<Call>& queue, Call call) {
     queue.push_back(std::move(call));
     send_queued();
 }
 
-// Changes go before lists, in the order in which they were asked for; but lists are never put off
-// for good: what the cloud alone knows is found there.
-CloudClient::Call CloudClient::take_next() {
+// Changes are sent before lists, in the order of submission. Lists must not be delayed
+// indefinitely, since some of their information has no other source.
+CloudClient::Call CloudClient::pop_next() {
     const bool take_list = change_queue_.empty() ||
                            (!list_queue_.empty() && consecutive_changes_ >= kMaxConsecutiveChanges);
     consecutive_changes_ = take_list ? 0 : consecutive_changes_ + 1;
@@ -76,7 +77,7 @@
     refill_tokens(now);
     while (has_queued() && request_tokens_ >= 1) {
         request_tokens_ -= 1;
-        send(take_next(), now);
+        send(pop_next(), now);
     }
     if (has_queued())
         timer_.after(static_cast<Millis>((1 - request_tokens_) / requests_per_s_ * 1000.0) + 1);
--- a/src/cloud/machine_kind.h
+++ b/src/cloud/machine_kind.h
@@ -7,8 +7,8 @@
 
 namespace nickelramp::cloud {
 
-/// A machine type in a zone, spot or ordinary: what the cloud has or lacks, and what is asked for.
-/// The indices are those of ClusterState::types() and ClusterState::zones().
+/// A machine type in a zone, spot or on-demand. The cloud's capacity differs by kind, and machines
+/// are requested by kind. The indices are those of ClusterState::types() and ClusterState::zones().
 struct MachineKind {
     Index type = kNone, zone = kNone;
     bool spot = false;
--- a/src/cloud/provision_reply.h
+++ b/src/cloud/provision_reply.h
@@ -8,12 +8,12 @@
 
 struct ProvisionReply {
     enum class Result {
-        provisioned,  ///< `machines` names them; they may be fewer than asked for
-        no_capacity,  ///< the cloud has none of this kind
-        rejected,     ///< the cloud says that it did not do it, for another reason
-        not_sent,     ///< nothing went out
-        unknown,      ///< it may have been done, or may yet be
-        malformed,    ///< the cloud does not understand the request
+        provisioned,  ///< `machines` has their names, possibly fewer than requested
+        no_capacity,  ///< the cloud has no machine of this kind
+        rejected,     ///< the cloud did not execute the request, for another reason
+        not_sent,     ///< the request was not sent
+        unknown,      ///< the request may have been executed or may still be executed
+        malformed,    ///< the cloud considers the request malformed
     };
     Result result = Result::unknown;
     std::vector<std::string> machines;  ///< names
--- a/src/cloud/provisioning_tracker.cpp
+++ b/src/cloud/provisioning_tracker.cpp
@@ -7,10 +7,10 @@
 namespace nickelramp::cloud {
 
 namespace {
-constexpr Millis kFirstBackoff = 5'000;  // doubled with each refusal in a row
+constexpr Millis kFirstBackoff = 5'000;  // doubled with each consecutive refusal
 constexpr Millis kMaxBackoff = 20'000;
 constexpr std::uint32_t kMaxDoublings = 4;
-constexpr Millis kRetryDelay = 1'500;  // after faults that say nothing about the kind
+constexpr Millis kRetryDelay = 1'500;  // after failures that are unrelated to the kind
 }  // namespace
 
 bool ProvisioningTracker::is_backing_off(const MachineKind& kind, Millis now) const {
@@ -23,9 +23,9 @@
 std::string ProvisioningTracker::start_request(std::uint64_t term, std::uint64_t fence,
                                                const MachineKind& kind, std::uint32_t count) {
     for (const auto& [name, request] : requests_) {
-        if (request.kind == kind && !request.inherited) return "";  // one at a time
+        if (request.kind == kind && !request.inherited) return "";  // one at a time for each kind
     }
-    // Names are never used again: the term is in them, and the role's fence.
+    // The term and the role's fence make names unique, so that none is ever reused.
     std::string name = fmt::format("t{}f{}-{}", term, fence, ++request_count_);
     requests_[name] = {kind, count, ProvisioningState::recording, false, false, 0};
     return name;
@@ -73,7 +73,8 @@
                           reply.result == Result::not_sent;
     Backoff& backoff = backoffs_[entry.kind];
     if (not_done && entry.may_execute_late) {
-        // Under another name the same would be provisioned again if this one is executed after all.
+        // If this request is executed late, a retry under another name would provision the same
+        // machines twice.
         entry.state = ProvisioningState::awaiting_retry;
         entry.retry_at = now + kRetryDelay;
         return false;
