--- a/src/forecast/arrival_rate.h
+++ b/src/forecast/arrival_rate.h
@@ -1,5 +1,5 @@
 /// @file
-/// How much of some kind of demand arrives, and how unevenly.
+/// Estimates the rate and the deviation of arriving demand.
 #pragma once
 #include <cmath>
 
@@ -7,25 +7,25 @@
 
 namespace nickelramp::forecast {
 
-/// An exponentially decayed sum of arrivals: old ones count less and less. The unit of the amounts
-/// is the caller's (machines, replicas, cpus). Times are milliseconds of the steady clock; asking
-/// decays the sums up to the time asked for.
+/// An exponentially decayed sum of arrivals. The caller chooses the unit of the amounts (machines,
+/// replicas, CPUs). Times are milliseconds of the steady clock. Queries decay the sums up to the
+/// given time.
 class ArrivalRate {
   public:
-    /// That much arrived at this time, which may be before the last one asked for.
+    /// Records an arrival. `at` may precede the time up to which the sums have been decayed.
     void record(double amount, Millis at) {
         decay(at);
-        // What arrived before the last update has decayed a little already.
+        // An arrival before the last update has already decayed.
         const double weight = std::exp(-static_cast<double>(decayed_at_ - at) / kDecayTimeMs);
         sum_ += amount * weight;
         sum_of_squares_ += amount * amount * weight;
     }
-    /// How much is expected to arrive within so many seconds.
+    /// Returns the amount that is expected to arrive within the given time.
     [[nodiscard]] double expected_within(double seconds, Millis now) {
         decay(now);
         return sum_ / kDecayTimeS * seconds;
     }
-    /// The standard deviation of that, for arrivals that are independent of each other.
+    /// Returns the standard deviation of that amount, for independent arrivals.
     [[nodiscard]] double deviation_within(double seconds, Millis now) {
         decay(now);
         return std::sqrt(sum_of_squares_ / kDecayTimeS * seconds);
--- a/src/forecast/demand_forecast.cpp
+++ b/src/forecast/demand_forecast.cpp
@@ -13,15 +13,16 @@
 using placement::Need;
 
 namespace {
-constexpr double kSoonS = 20;  // within this, empty machines are kept for whole-machine tasks
-constexpr std::size_t kEmptyPerTask = 2;        // machines kept for a whole-machine task that waits
-constexpr std::size_t kMaxZonesConsidered = 4;  // likewise, if it is of a gang bound to one zone
-constexpr std::uint32_t kMaxReplicaSlots = 1024;  // of a machine
-constexpr double kCompletionDecay = 0.97;         // of earlier completions, with each further one
+// Empty machines are kept for whole-machine tasks that are expected within this time.
+constexpr double kWholeMachineLookaheadS = 20;
+constexpr std::size_t kEmptyPerTask = 2;          // machines kept for a waiting whole-machine task
+constexpr std::size_t kMaxZonesConsidered = 4;    // for a task of a gang bound to one zone
+constexpr std::uint32_t kMaxReplicaSlots = 1024;  // per machine
+constexpr double kCompletionDecay = 0.97;         // factor applied with each further completion
 constexpr double kMinRunS = 1;
 
-// The classes that leave ordinary machines of the type as a whole.
-auto leaves_whole_machine(Index type) {
+// Returns a predicate for the classes whose tasks free whole on-demand machines of the type.
+auto frees_whole_machine(Index type) {
     return [type](const ClassStatistics& statistics) {
         return statistics.uses_whole_machine && !statistics.spot && statistics.type == type;
     };
@@ -32,22 +33,23 @@
 }
 }  // namespace
 
-// How many machines' worth should be free now, so that what comes need not wait for a boot: what
-// arrives within one beyond what is left by then, and a margin, since both come in lumps.
-template <typename Leaves>
-double DemandForecast::wanted_ahead_of_need(ArrivalRate& arrivals, Index type, Leaves leaves,
-                                            double margin, Millis now) {
+// Returns the number of machines that should be free now so that arriving tasks need not wait for a
+// boot. It is the expected arrivals during a boot minus the capacity that is freed by then, plus a
+// margin, since both vary.
+template <typename FreesMachine>
+double DemandForecast::wanted_headroom(ArrivalRate& arrivals, Index type,
+                                       FreesMachine frees_machine, double margin, Millis now) {
     const double boot_s = cluster_.types()[type].boot_s;
     double left = 0;
     for (const ClassStatistics& statistics : class_statistics_) {
-        if (!leaves(statistics) || statistics.weight <= 0) continue;
+        if (!frees_machine(statistics) || statistics.weight <= 0) continue;
         left += statistics.machine_share * std::min(1.0, boot_s / mean_run_s(statistics));
     }
     return std::max(0.0, arrivals.expected_within(boot_s, now) - left) +
            margin * std::sqrt(2.0) * arrivals.deviation_within(boot_s, now);
 }
 
-// What the job's slots cost on each kind of machine, and on which type least.
+// Computes the cost of the job's slots on each kind of machine, and the cheapest type.
 void DemandForecast::update_placement_costs(Job& job) {
     const Need need = placement::need_of(job);
     double least = std::numeric_limits<double>::infinity();
@@ -63,18 +65,18 @@
     }
     if (job.cheapest_type == kNone) return;
     for (auto& [ordinary, spot] : job.relative_cost) {
-        // Without prices nothing is expensive.
+        // Without prices, no type counts as expensive.
         ordinary = least > 0 ? ordinary / least : 1;
         spot = least > 0 ? spot / least : 1;
     }
-    note_required_type(job);
+    mark_required_type(job);
     const wire::MachineType& type = cluster_.types()[job.cheapest_type];
     job.machine_share = job.spec.cpus / std::max(1.0, type.cpus);
     if (type.gpus > 0) job.machine_share = std::max(job.machine_share, job.spec.gpus / type.gpus);
 }
 
-// Notes the job's type if it fits no other.
-void DemandForecast::note_required_type(const Job& job) {
+// Marks the job's cheapest type as required if the job fits no other type.
+void DemandForecast::mark_required_type(const Job& job) {
     std::size_t fitting_types = 0;
     for (Index type = 0; type < job.relative_cost.size(); ++type) {
         const bool fits =
@@ -120,7 +122,7 @@
     if (job.is_service() && job.cheapest_type != kNone) record_replica_arrival(job);
     const bool whole_machine = uses_whole_machine(job);
     statistics.uses_whole_machine = statistics.uses_whole_machine || whole_machine;
-    // Those that may use spot machines are counted with them.
+    // Jobs that may use spot machines are counted in spot_arrivals.
     if (job.cheapest_type != kNone && !job.spec.spot && whole_machine)
         record_whole_machine_arrival(job);
 }
@@ -131,7 +133,8 @@
     if (must_start_within_boot(job)) demand.urgent_arrivals.record(job.spec.tasks, job.accepted_at);
 }
 
-// Do the operators' objectives want its class to start sooner than a machine boots?
+// Returns whether the operators' objectives require the job's class to start within less than a
+// machine's boot time.
 bool DemandForecast::must_start_within_boot(const Job& job) const {
     const double boot_s = cluster_.types()[job.cheapest_type].boot_s;
     const std::vector<wire::Objective>& objectives = term_.settings().objectives;
@@ -141,7 +144,7 @@
     });
 }
 
-// Each part replaces what the machine counted for before by what it counts for now.
+// Each function replaces the machine's previous contribution to a sum by its present one.
 void DemandForecast::on_machine_changed(Machine& machine) {
     update_empty(machine);
     update_spot_share(machine);
@@ -169,11 +172,11 @@
 }
 
 void DemandForecast::update_array_share(Machine& machine) {
-    const bool is_there_or_coming = machine.accepts_tasks() ||
-                                    machine.state == MachineState::booting ||
-                                    machine.state == MachineState::joining;
+    const bool usable_or_provisioning = machine.accepts_tasks() ||
+                                        machine.state == MachineState::booting ||
+                                        machine.state == MachineState::joining;
     double share = 0;
-    if (is_there_or_coming) {
+    if (usable_or_provisioning) {
         const double cpus = std::max(1.0, cluster_.types()[machine.type].cpus);
         share = std::max(0.0, 1 - machine.gang_and_service_cpus / cpus);
     }
@@ -218,16 +221,17 @@
 
 void DemandForecast::add_whole_machines_wanted(const Job& job) {
     if (job.cheapest_type == kNone || !class_statistics_[job.job_class].uses_whole_machine) return;
-    // Some are kept for others; of a gang bound to one zone it is unknown where all of it will fit.
+    // Some empty machines are reserved for other work. For a gang bound to one zone, it is unknown
+    // in which zone all of it will fit.
     const std::size_t zones =
         job.spec.one_zone ? std::min<std::size_t>(cluster_.zones().size(), kMaxZonesConsidered) : 0;
     mutable_demand(job.cheapest_type).whole_machines_wanted +=
         job.placeable_tasks() * std::max(kEmptyPerTask, zones);
 }
 
-// A machine provisioned now is of use after its boot. Slots that running array tasks leave before
-// then serve the queue as early, and cost nothing. By type: an urgent array once waited for slots
-// on machines that it is not placed on.
+// A machine provisioned now is usable after its boot. Slots that running array tasks free before
+// then are available as early and cost nothing. The slots are counted by type, since an urgent
+// array could otherwise wait for slots on machines on which it cannot be placed.
 std::vector<std::uint32_t> DemandForecast::slots_freed_soon() const {
     double boot_s = 0;
     for (const wire::MachineType& machine_type : cluster_.types()) {
@@ -252,7 +256,8 @@
     return job.spec.estimate_s * ratio;
 }
 
-// Owners' estimates are off, on some days all the same way: this learns how much, by class.
+// Owners' estimates are inaccurate, on some days all in the same direction. The statistics record
+// by how much, by class.
 void DemandForecast::on_task_completed(const Job& job, const Attempt& attempt, Millis now) {
     if (attempt.running_since == 0 || attempt.number != 1 || job.spec.estimate_s <= 0) return;
     ClassStatistics& statistics = class_statistics_[job.job_class];
@@ -263,7 +268,8 @@
         statistics.estimated_run_s * kCompletionDecay + job.spec.estimate_s;
 }
 
-// Does a task of the job take most of any machine that it may use, and is it no array?
+// Returns whether the job is not an array and each of its tasks needs more than half of the CPUs or
+// GPUs of any machine that it may use.
 bool DemandForecast::uses_whole_machine(const Job& job) const {
     if (job.spec.shape == wire::Shape::array) return false;
     for (Index index = 0; index < cluster_.types().size() && index < job.allowed_type.size();
@@ -276,9 +282,9 @@
 }
 
 std::size_t DemandForecast::wanted_spare_machines(Index type, Millis now) {
-    return static_cast<std::size_t>(std::ceil(wanted_ahead_of_need(
-        mutable_demand(type).whole_machine_arrivals, type, leaves_whole_machine(type),
-        term_.options().idle_retention_margin, now)));
+    return static_cast<std::size_t>(std::ceil(
+        wanted_headroom(mutable_demand(type).whole_machine_arrivals, type,
+                        frees_whole_machine(type), term_.options().idle_retention_margin, now)));
 }
 
 double DemandForecast::wanted_replica_slots(Millis now) {
@@ -294,13 +300,13 @@
     return demand_[type];
 }
 
-// Empty machines that gangs need, or will within seconds, are not for tasks that spot machines
-// serve as well: they would be stopped again at once. No more are kept than gangs can use: one gang
-// that waited for its zone once kept thousands empty.
+// Empty machines that gangs need now or within seconds are not given to tasks that can run on spot
+// machines, since those tasks would be preempted immediately. The number is limited to what gangs
+// can use. Otherwise a single gang waiting for its zone could keep thousands of machines empty.
 bool DemandForecast::keeps_empty_machine(Index type, Millis now) {
     TypeDemand& demand = mutable_demand(type);
-    const auto soon =
-        static_cast<std::size_t>(demand.whole_machine_arrivals.deviation_within(kSoonS, now));
+    const auto soon = static_cast<std::size_t>(
+        demand.whole_machine_arrivals.deviation_within(kWholeMachineLookaheadS, now));
     return demand.empty_on_demand <= demand.whole_machines_wanted + soon;
 }
 
@@ -315,17 +321,16 @@
 }
 
 double DemandForecast::wanted_urgent_machines(Index type, Millis now) {
-    return wanted_ahead_of_need(mutable_demand(type).urgent_arrivals, type,
-                                leaves_whole_machine(type), term_.options().provisioning_margin,
-                                now);
+    return wanted_headroom(mutable_demand(type).urgent_arrivals, type, frees_whole_machine(type),
+                           term_.options().provisioning_margin, now);
 }
 
 double DemandForecast::wanted_spot_machines(Index type, Millis now) {
-    auto leaves = [&](const ClassStatistics& statistics) {
+    auto frees_machine = [&](const ClassStatistics& statistics) {
         return statistics.spot && statistics.type == type;
     };
-    return wanted_ahead_of_need(mutable_demand(type).spot_arrivals, type, leaves,
-                                term_.options().spot_margin, now);
+    return wanted_headroom(mutable_demand(type).spot_arrivals, type, frees_machine,
+                           term_.options().spot_margin, now);
 }
 
 }  // namespace nickelramp::forecast
--- a/src/forecast/demand_forecast.h
+++ b/src/forecast/demand_forecast.h
@@ -1,5 +1,5 @@
 /// @file
-/// What work is likely to come, and what capacity there is for it.
+/// Forecasts demand for machines and tracks the capacity that is free for it.
 #pragma once
 #include <utility>
 #include <vector>
@@ -9,111 +9,114 @@
 
 namespace nickelramp::forecast {
 
-/// What is wanted of a type of machine, by the work that costs least there, and what there is.
-/// Amounts are machines, or parts of one.
+/// Demand for a machine type, from work that costs least on that type, and its capacity. Amounts
+/// are machines or fractions of a machine.
 struct TypeDemand {
     ArrivalRate spot_arrivals;           ///< of tasks that may use spot machines
-    ArrivalRate whole_machine_arrivals;  ///< of tasks that take most of an ordinary machine each
-    ArrivalRate urgent_arrivals;         ///< those of them that can't wait for a boot
-    double free_spot_machines = 0;       ///< what is free on spot machines
-    std::size_t empty_on_demand = 0;     ///< ordinary machines with nothing on them
-    /// Ordinary machines that whole-machine tasks could have at once.
+    ArrivalRate whole_machine_arrivals;  ///< of tasks that use most of an on-demand machine each
+    ArrivalRate urgent_arrivals;         ///< the part of them that cannot wait for a boot
+    double free_spot_machines = 0;       ///< free capacity on spot machines
+    std::size_t empty_on_demand = 0;     ///< on-demand machines without tasks
+    /// On-demand machines that whole-machine tasks could use immediately.
     std::size_t available_for_whole_machine_tasks = 0;
-    bool required_by_some_work = false;  ///< some work fits no other type
-    /// Empty machines that waiting work could need, a machine for each task.
+    bool required_by_some_work = false;  ///< whether some work fits no other type
+    /// Empty machines that waiting whole-machine tasks could need.
     std::size_t whole_machines_wanted = 0;
-    /// What gangs and replicas do not hold of ordinary [0] and of spot machines [1].
+    /// Capacity not used by gangs and replicas, on on-demand [0] and on spot machines [1].
     double array_capacity[2] = {0, 0};
 };
 
-/// What the jobs of a class have shown.
+/// Statistics of the jobs of a class.
 struct ClassStatistics {
-    double observed_run_s = 0;        ///< sum over completed tasks, older ones decayed
-    double estimated_run_s = 0;       ///< the same sum of their owners' estimates
-    double weight = 0;                ///< the same sum of ones
-    std::uint32_t running = 0;        ///< tasks that will end by themselves
-    double machine_share = 0;         ///< machines that those take
-    bool uses_whole_machine = false;  ///< its tasks take a machine each
-    bool spot = false;                ///< they may use spot machines
-    Index type = kNone;               ///< where they cost least
+    double observed_run_s = 0;        ///< sum over completed tasks, with older ones decayed
+    double estimated_run_s = 0;       ///< decayed sum of the owners' estimates for those tasks
+    double weight = 0;                ///< decayed number of those tasks
+    std::uint32_t running = 0;        ///< running tasks that end by themselves (not replicas)
+    double machine_share = 0;         ///< machines that the running tasks use
+    bool uses_whole_machine = false;  ///< each of its tasks needs a whole machine
+    bool spot = false;                ///< its tasks may use spot machines
+    Index type = kNone;               ///< machine type on which its tasks cost least
     wire::Priority priority = wire::Priority::low;
-    ArrivalRate array_cpu_arrivals;  ///< cpus of array tasks
+    ArrivalRate array_cpu_arrivals;  ///< in CPUs of array tasks
 };
 
-/// Slots for replicas that are likely to come before another machine could boot.
+/// Free slots for replicas that are expected before another machine could boot.
 struct ReplicaHeadroom {
-    placement::Need need;  ///< the largest of the replicas, by each resource
-    Index type = kNone;    ///< where the last one costs least
-    ArrivalRate arrivals;  ///< replicas
+    placement::Need need;  ///< the maximum over all replicas, by resource
+    Index type = kNone;    ///< machine type on which the latest replica costs least
+    ArrivalRate arrivals;  ///< in replicas
     /// Cost of a slot by machine type (Job::relative_cost).
     std::vector<jobs::RelativeCost> relative_cost;
-    double free_slots = 0;  ///< free for them, on ordinary machines that are not expensive
+    double free_slots = 0;  ///< free slots on on-demand machines that are not expensive
 };
 
-/// Arrivals by machine type and job class, run times against their owners' estimates, and sums of
-/// free capacity that are kept up machine by machine. Lives for one term, on the loop thread; the
-/// control loop passes the cluster state's changes on to it, and the scheduler, the job queue and
-/// the autoscaler ask it. Reads the cluster state and writes only the machines' and jobs' own
-/// forecast fields; times are milliseconds of the steady clock. Nothing fails.
+/// Tracks arrivals by machine type and job class, run times compared with the owners' estimates,
+/// and sums of free capacity that are updated machine by machine. The control loop notifies the
+/// forecast of changes of the cluster state, and the scheduler, the job queue and the autoscaler
+/// query it. Used on the loop thread for one term. It reads the cluster state and writes only the
+/// forecast fields of machines and jobs. Times are milliseconds of the steady clock.
 class DemandForecast {
   public:
     /// Both must outlive the forecast.
     DemandForecast(const cluster::TermContext& term, cluster::ClusterState& cluster)
         : term_(term), cluster_(cluster) {}
 
-    // --- what the cluster state tells
+    // --- Notifications of cluster state changes
 
-    /// A job came: computes what its slots cost, and counts its arrival.
+    /// Computes the costs of a new job's slots and records its arrival.
     void on_job_added(jobs::Job& job);
-    /// What is free on the machine, or its state, has changed.
+    /// Updates the sums after a change of the machine's state or free resources.
     void on_machine_changed(machines::Machine& machine);
     void on_task_running_changed(const jobs::Job& job, bool begins);
-    /// A task has completed: learns from how long it ran.
+    /// Updates the run time statistics of the job's class after a task has completed.
     void on_task_completed(const jobs::Job& job, const jobs::Attempt& attempt, Millis now);
-    /// A scheduling pass begins: add_whole_machines_wanted() follows for each job that finds no
-    /// place.
+    /// Called when a scheduling pass begins. add_whole_machines_wanted() is called afterwards for
+    /// each job that cannot be placed.
     void clear_whole_machines_wanted();
     void add_whole_machines_wanted(const jobs::Job& job);
 
-    // --- what others ask
+    // --- Queries
 
-    /// How long a task of the job will run, in seconds: its owner's estimate, corrected by what its
-    /// class has shown.
+    /// Returns the expected run time of a task of the job: its owner's estimate, corrected by the
+    /// observed run times of its class.
     [[nodiscard]] double expected_run_s(const jobs::Job& job) const;
-    /// From how many completed tasks that is known; 0: it is the owner's estimate. Older ones count
-    /// less.
+    /// Returns the number of completed tasks that expected_run_s() is based on, with older ones
+    /// decayed. If it is 0, the expected run time is the owner's estimate.
     [[nodiscard]] std::size_t observed_completions(const jobs::Job& job) const {
         return static_cast<std::size_t>(class_statistics_[job.job_class].weight);
     }
     [[nodiscard]] const ReplicaHeadroom& replica_headroom() const { return replica_headroom_; }
-    /// How many slots are to be kept free for replicas.
+    /// Returns how many slots are to be kept free for replicas.
     [[nodiscard]] double wanted_replica_slots(Millis now);
-    /// By machine type; may be shorter than the list of types.
+    /// Demand by machine type. May be shorter than the list of types.
     [[nodiscard]] const std::vector<TypeDemand>& demand() const { return demand_; }
     [[nodiscard]] TypeDemand& mutable_demand(Index type);
-    /// Is some work that fits no other type expected there?
+    /// Returns whether there is work that fits no other type.
     [[nodiscard]] bool required_by_some_work(Index type) const {
         return type < demand_.size() && demand_[type].required_by_some_work;
     }
-    /// Are empty ordinary machines of the type kept for whole-machine tasks now?
+    /// Returns whether empty on-demand machines of the type are reserved for whole-machine tasks
+    /// now.
     [[nodiscard]] bool keeps_empty_machine(Index type, Millis now);
-    /// How many ordinary machines are to stay although nothing uses them.
+    /// Returns how many unused on-demand machines are to be kept.
     [[nodiscard]] std::size_t wanted_spare_machines(Index type, Millis now);
-    /// How many machines are to be free for whole-machine tasks that can't wait for a boot.
+    /// Returns how many machines are to be kept free for whole-machine tasks that cannot wait for a
+    /// boot.
     [[nodiscard]] double wanted_urgent_machines(Index type, Millis now);
-    /// How many spot machines are to be free for tasks that may use them.
+    /// Returns how many spot machines are to be kept free for tasks that may use them.
     [[nodiscard]] double wanted_spot_machines(Index type, Millis now);
-    /// By type: slots that running array tasks leave before a machine provisioned now could boot.
+    /// Returns, by type, the number of slots that running array tasks are expected to free before a
+    /// machine provisioned now could boot.
     [[nodiscard]] std::vector<std::uint32_t> slots_freed_soon() const;
-    /// What arrays of higher priority take on average, in cpus.
+    /// Returns the average CPU use of arrays with a higher priority than the job.
     [[nodiscard]] double expected_load_above(const jobs::Job& job, Millis now);
 
   private:
-    template <typename Leaves>
-    double wanted_ahead_of_need(ArrivalRate& arrivals, Index type, Leaves leaves, double margin,
-                                Millis now);
+    template <typename FreesMachine>
+    double wanted_headroom(ArrivalRate& arrivals, Index type, FreesMachine frees_machine,
+                           double margin, Millis now);
     void update_placement_costs(jobs::Job& job);
-    void note_required_type(const jobs::Job& job);
+    void mark_required_type(const jobs::Job& job);
     void record_replica_arrival(const jobs::Job& job);
     void record_whole_machine_arrival(const jobs::Job& job);
     [[nodiscard]] bool uses_whole_machine(const jobs::Job& job) const;
