--- a/tests/control_autoscaling_test.cpp
+++ b/tests/control_autoscaling_test.cpp
@@ -1,4 +1,4 @@
-// Provisioning and release of machines, and their records.
+// Tests of provisioning and releasing machines and of the intent log.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 using test::ControlFixture;
 using test::RecordingGateway;
 
-// Nothing is provisioned or kept beyond what jobs need.
+// No machines are provisioned or kept beyond what jobs need.
 admin::Options options_without_margins() {
     admin::Options options;
     options.idle_retention_margin = options.provisioning_margin = options.spot_margin =
@@ -27,15 +27,15 @@
     return {cloud::ProvisionReply::Result::provisioned, machines};
 }
 
-// Machines that all requests under way ask for.
+// Returns how many machines the pending requests ask for in total.
 std::uint32_t requested_machines(const ControlFixture& fixture) {
     std::uint32_t machines = 0;
     for (const auto& request : fixture.gateway.provision_calls) machines += request.count;
     return machines;
 }
 
-// Machines are requested in the order of need; a kind that the cloud has just refused is left
-// alone, and requests under way are not repeated.
+// Only missing machines are requested. A kind that the cloud has just refused is not requested, and
+// requests in flight are not duplicated.
 TEST(ControlParts, TheAutoscalerRequestsWhatIsMissingAndNoMore) {
     ControlFixture fixture;
     fixture.settings.cloud_requests_per_s = 10;
@@ -43,7 +43,7 @@
     Job& job = fixture.add_job(test::job("job-1", "standing", 3, 4));  // a machine each
     fixture.autoscaler.scale_out({&job}, {}, 900);
     EXPECT_TRUE(fixture.gateway.commits.empty())
-        << "which machines exist is not known before the cloud's list";
+        << "requested machines before the cloud's list was read";
     fixture.autoscaler.on_instances_listed({}, 950);
     fixture.autoscaler.scale_out({&job}, {}, 1000);
     EXPECT_TRUE(fixture.gateway.provision_calls.empty()) << "sent before the intent was recorded";
@@ -56,7 +56,8 @@
     const std::size_t calls = fixture.gateway.provision_calls.size();
     fixture.autoscaler.scale_out({&job}, {}, 1500);
     fixture.record_intents(2100);
-    EXPECT_EQ(fixture.gateway.provision_calls.size(), calls) << "the requests are under way";
+    EXPECT_EQ(fixture.gateway.provision_calls.size(), calls)
+        << "requested again while the requests are in flight";
     const std::string refused_zone = fixture.gateway.provision_calls.front().zone;
     auto first = fixture.gateway.provision_calls.front();
     fixture.gateway.provision_calls.pop_front();
@@ -75,9 +76,9 @@
     EXPECT_EQ(requested_machines(fixture), first.count);
 }
 
-// A machine stays in the cluster state until the cloud's reply proves it gone. Its release is on
-// record before it is sent: a delayed release once took away a machine on which a successor had
-// placed tasks.
+// A machine stays in the cluster state until the cloud's reply proves that it was released. The
+// release is recorded before it is sent. Otherwise a delayed release can destroy a machine on which
+// the next leader has placed tasks.
 TEST(ControlParts, AReleaseIsRecordedFirstAndProvenByItsReplyOnly) {
     ControlFixture fixture;
     Machine& machine = fixture.add_ready_machine("m-1", "plain", "a");
@@ -94,22 +95,22 @@
                                 return condition.key == "duty/returning" && condition.version == 61;
                             }));
     fixture.autoscaler.send_releases(1005);
-    ASSERT_TRUE(fixture.gateway.release_calls.empty()) << "the record is not written yet";
+    ASSERT_TRUE(fixture.gateway.release_calls.empty()) << "sent before the intent was recorded";
     fixture.record_intents(1008);
     fixture.autoscaler.send_releases(1010);
     ASSERT_EQ(fixture.gateway.release_calls.size(), 1u);
     RecordingGateway::answer(fixture.gateway.release_calls, 1100, false);
     EXPECT_NE(fixture.cluster.machine("m-1"), nullptr);
     fixture.autoscaler.send_releases(1200);
-    EXPECT_TRUE(fixture.gateway.release_calls.empty()) << "not at once";
+    EXPECT_TRUE(fixture.gateway.release_calls.empty()) << "retried before the retry delay";
     fixture.autoscaler.send_releases(2200);
     RecordingGateway::answer(fixture.gateway.release_calls, 2300, true);
     EXPECT_EQ(fixture.cluster.machine("m-1"), nullptr);
     EXPECT_TRUE(fixture.cluster.is_tombstoned("m-1"));
 }
 
-// While the key-value store does not answer, only machines that no successor would use are
-// released: those that the cloud lists as failed, and those that it preempts.
+// While the key-value store is unavailable, only machines that no later leader would use are
+// released: those that the cloud lists as failed and those that it is about to preempt.
 TEST(ControlParts, WithoutARecordOnlyUnusableMachinesAreReleased) {
     ControlFixture fixture;
     for (const char* name : {"idle", "failed", "warned"}) {
@@ -129,8 +130,8 @@
     EXPECT_EQ(gone, (std::set<std::string>{"failed", "warned"}));
 }
 
-// A request whose outcome is unknown is retried under its name. A new name once provisioned the
-// same machines twice.
+// A request whose outcome is unknown is retried under its name. Under a new name, the same machines
+// could be provisioned twice.
 TEST(ControlParts, AProvisioningRequestOfUnknownOutcomeIsRetriedUnderItsName) {
     using Result = cloud::ProvisionReply::Result;
     ControlFixture fixture;
@@ -153,7 +154,7 @@
     fixture.autoscaler.run_due_work(3000);
     ASSERT_EQ(fixture.gateway.provision_calls.size(), 1u);
     EXPECT_EQ(fixture.gateway.provision_calls[0].request, name);
-    // Rejected: this request was not executed. The first may be yet.
+    // The retry was rejected and not executed, but the first attempt may still be executed.
     RecordingGateway::answer(fixture.gateway.provision_calls, 3100,
                              cloud::ProvisionReply{Result::rejected, {}});
     fixture.autoscaler.scale_out({&job}, {}, 3200);
@@ -163,13 +164,13 @@
     RecordingGateway::answer(fixture.gateway.provision_calls, 4900, provisioned({"n-1"}));
     EXPECT_NE(fixture.cluster.machine("n-1"), nullptr);
     EXPECT_TRUE(fixture.intent_log.is_recorded(lease::Role::scale_out, name))
-        << "until the cloud's lists show it";
+        << "the intent is kept until every list from the cloud contains its machines";
     fixture.autoscaler.run_due_work(4900 + 2 * 3'000 + 1'000);
     EXPECT_FALSE(fixture.intent_log.is_recorded(lease::Role::scale_out, name));
 }
 
-// Nothing is done under a role whose fence has changed: the record is not written, the gateway is
-// told, and nothing is sent until the new fence is known.
+// Nothing is done under a role whose fence has changed. The record is not written, the gateway is
+// notified, and nothing is sent until the new fence is known.
 TEST(ControlParts, NothingIsSentUnderARoleHeldElsewhere) {
     ControlFixture fixture;
     fixture.cluster.release_machine(fixture.add_ready_machine("m-1", "plain", "a"),
@@ -186,7 +187,7 @@
     fixture.autoscaler.send_releases(3000);
     EXPECT_TRUE(fixture.gateway.release_calls.empty());
     fixture.term.set_role_fence(lease::Role::scale_in, 99);
-    fixture.intent_log.write(4000);  // reads the record first, whose outcome is unknown
+    fixture.intent_log.write(4000);  // reads the record first, since the write's outcome is unknown
     kvstore::GetReply none;
     none.status = kvstore::Status::missing;
     RecordingGateway::answer(fixture.gateway.reads, 4010, none);
--- a/tests/control_fixture.h
+++ b/tests/control_fixture.h
@@ -1,6 +1,6 @@
-// The parts of a term, each of which a test can call at its own interface. What they ask of the
-// key-value store, of workers and of the cloud is recorded until the test replies to it; what they
-// notify reaches the parts that it concerns.
+// The components of a leader's term, each of which a test can call at its own interface. Requests
+// to the key-value store, to workers and to the cloud are recorded until the test replies to them.
+// Notifications between components are delivered.
 #pragma once
 #include <deque>
 #include <functional>
@@ -20,7 +20,7 @@
 
 namespace nickelramp::test {
 
-// A transaction was executed at this revision.
+// Returns the reply to a transaction that was executed at this revision.
 inline kvstore::CommitReply committed(std::uint64_t revision) {
     kvstore::CommitReply reply;
     reply.status = kvstore::Status::ok;
@@ -28,7 +28,7 @@
     return reply;
 }
 
-// Records every request, oldest first; the test replies with answer().
+// Records every request, oldest first. The test replies with answer().
 struct RecordingGateway : cluster::ServiceGateway {
     template <typename Reply>
     using Done = std::function<void(Millis, const Reply&)>;
@@ -67,7 +67,7 @@
     std::deque<ProvisionCall> provision_calls;
     std::deque<ReleaseCall> release_calls;
     std::vector<lease::Role> rejected_roles;  // whose fences made a transaction fail
-    std::string ended;                        // why the term ended; empty: it has not
+    std::string ended;                        // why the term ended, empty if it has not
 
     void commit(kvstore::Transaction transaction, Done<kvstore::CommitReply> done) override {
         test_trace().add(0, "commit", traced(transaction));
@@ -107,23 +107,23 @@
         ended = why;
     }
 
-    // Removes the oldest request of a kind and replies to it.
+    // Removes the oldest request from the queue and replies to it.
     template <typename Call, typename Reply>
     static void answer(std::deque<Call>& calls, Millis now, const Reply& reply) {
-        ASSERT_FALSE(calls.empty()) << "there is no such request";
+        ASSERT_FALSE(calls.empty()) << "no such request is pending";
         const Call oldest = std::move(calls.front());
         calls.pop_front();
         oldest.done(now, reply);
     }
 };
 
-// Machines of a zone, as the observer was told.
+// Machine counts of a zone, as reported to the observer.
 struct MachineCounts {
     int up = 0, unresponsive = 0;
     bool operator==(const MachineCounts&) const = default;
 };
 
-// All parts of a leader's term 7, put together as the control loop does it.
+// All components of a leader's term 7, connected as in the control loop.
 struct ControlFixture : cluster::ClusterObserver,
                         cluster::ControlActions,
                         sharding::ShardLeaseWriter::Listener,
@@ -195,7 +195,7 @@
                              Millis now) override {
         autoscaler.on_intents_recorded(role, names, now);
     }
-    // Writes the intents, and replies to all transactions that they were executed.
+    // Writes the intents and replies to all pending transactions that they were executed.
     void record_intents(Millis now) {
         intent_log.write(now);
         while (!gateway.commits.empty())
@@ -206,7 +206,7 @@
         ++heartbeats;
     }
 
-    // A machine that accepts tasks, under the token of this term.
+    // Adds a machine that accepts tasks under the token of this term.
     machines::Machine& add_ready_machine(const std::string& name, const std::string& type,
                                          const std::string& zone, bool spot = false,
                                          Millis now = 0) {
@@ -223,7 +223,7 @@
         cluster.set_machine_state(*machine, machines::MachineState::ready);
         return *machine;
     }
-    // A job that was accepted now and waits for slots.
+    // Adds a job that was accepted at `now` and waits for slots.
     jobs::Job& add_job(const wire::Json& spec, Millis now = 0, std::uint64_t version = 1) {
         const auto parsed = wire::parse_job(spec);
         EXPECT_TRUE(parsed) << parsed.error().message();
