--- a/src/relay/forward_admission.cpp
+++ b/src/relay/forward_admission.cpp
@@ -23,7 +23,8 @@
     Millis now) {
     if (forwarded.term != term || forwarded.leader_incarnation != incarnation)
         return reject(Rejection::other_term, forwarded.from);
-    // Checked before they are added: a peer may send any number, and the sum could overflow.
+    // Each value is checked before the addition, because a peer may send any number and the sum
+    // could overflow.
     const auto clock = static_cast<std::uint64_t>(now);
     if (forwarded.leader_clock_ms > clock || forwarded.since_status_ms > clock)
         return reject(Rejection::future, forwarded.from);
--- a/src/relay/forward_admission.h
+++ b/src/relay/forward_admission.h
@@ -1,6 +1,6 @@
-/// \file
-/// The leader's side of forwarded heartbeats: which of them may be handled. Forwarded messages may
-/// be late, of an earlier term, or meant for an earlier process of this controller
+/// @file
+/// Validates forwarded heartbeats on the leader. A forwarded heartbeat may be late, belong to
+/// another term, or be addressed to an earlier process of this controller
 /// (docs/design/forwarding.md).
 #pragma once
 #include <array>
@@ -16,23 +16,25 @@
 /// Why a forwarded heartbeat is dropped.
 enum class Rejection {
     stale,       ///< the worker no longer waits for the reply
-    other_term,  ///< meant for another term or another process
-    future,      ///< its time is after now, which no correct forwarder says
+    other_term,  ///< addressed to another term or another process
+    future,      ///< its arrival time is in the future, which no correct forwarder sends
 };
 inline constexpr std::size_t kRejectionCount = 3;
-/// The rejection's name in metrics.
+/// Returns the rejection's name in metrics.
 [[nodiscard]] const char* name(Rejection rejection);
 
-/// Admits forwarded heartbeats and counts what it rejects, for the metrics.
+/// Admits forwarded heartbeats and counts admissions and rejections for the metrics.
 ///
-/// Guarantees: an admitted heartbeat reached its forwarder at most kHeartbeatTimeout ago, by this
-/// controller's clock with the drift of the forwarder's allowed for. Owned and called by
-/// controller::HeartbeatHandler on the loop thread; reads no clock.
+/// Guarantees: an admitted heartbeat reached its forwarder at most kHeartbeatTimeout ago by this
+/// controller's clock, allowing for the drift of the forwarder's clock. Owned and called by
+/// controller::HeartbeatHandler on the loop thread. Reads no clock.
 class ForwardAdmission {
   public:
-    /// How and when the heartbeat arrived at its forwarder; nothing if it is to be dropped without
-    /// a reply. `term` and `incarnation`: of this leader and its process; `now`: milliseconds of
-    /// the clock that its status messages carry.
+    /// Returns how and when the heartbeat arrived at its forwarder, or nothing if it must be
+    /// dropped without a reply.
+    /// @param term The term of this leader.
+    /// @param incarnation The incarnation of this leader's process.
+    /// @param now The current time of the clock that this leader's status messages carry.
     [[nodiscard]] std::optional<machines::HeartbeatArrival> admit(
         const peers::ForwardedHeartbeat& forwarded, std::uint64_t term, std::uint64_t incarnation,
         Millis now);
--- a/src/relay/heartbeat_forwarder.cpp
+++ b/src/relay/heartbeat_forwarder.cpp
@@ -5,7 +5,7 @@
 namespace nickelramp::relay {
 
 namespace {
-constexpr std::size_t kMaxPending = 8'192;  // some 400 bytes each
+constexpr std::size_t kMaxPending = 8'192;  // about 400 bytes each
 }  // namespace
 
 void HeartbeatForwarder::on_peer_status(const peers::Status& status, Millis now) {
@@ -58,7 +58,8 @@
     return true;
 }
 
-// A worker has one heartbeat in flight: once it sends another, it has given up the one before.
+// A worker has one heartbeat in flight. When it sends another one, it no longer waits for the reply
+// to the previous one.
 void HeartbeatForwarder::drop_older_heartbeat(const std::string& machine) {
     const auto older = by_machine_.find(machine);
     if (older == by_machine_.end()) return;
@@ -84,8 +85,9 @@
     }
 }
 
-// Removed before the reply is passed on: that may forward the next heartbeat.
-void HeartbeatForwarder::finish(Table::iterator pending, const machines::HeartbeatReply& reply) {
+// Removes the entry before it calls `respond`, which may forward the next heartbeat.
+void HeartbeatForwarder::finish(PendingTable::iterator pending,
+                                const machines::HeartbeatReply& reply) {
     const Pending finished = std::move(pending->second);
     by_machine_.erase(finished.machine);
     pending_.erase(pending);
--- a/src/relay/worker_balancer.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -10,38 +10,39 @@
 namespace nickelramp::relay {
 
 namespace {
-// The leader needs sockets for commands, and every one that it saves is processor time for
-// decisions: it takes fewer workers than the others.
+// The leader takes fewer workers than the others, because it needs sockets for commands and
+// processor time for scheduling decisions.
 constexpr double kLeaderLoadFactor = 1.5;
-// The part of a controller's sockets that staying in the worker's zone is worth.
+// Cost of a connection to another zone, as a share of a controller's sockets.
 constexpr double kZoneChangeCost = 0.2;
-// Smaller gains move no worker, so that workers do not go to and fro.
+// Workers are not redirected for smaller gains, so that they do not oscillate between controllers.
 constexpr double kMinGain = 0.15;
-// Workers moved a second: a part of the controller's sockets, but at least so many.
-constexpr double kRedirectedPart = 0.02;
+// Workers redirected per second: a share of the controller's sockets, but at least the minimum.
+constexpr double kRedirectedSharePerSecond = 0.02;
 constexpr double kMinRedirectsPerSecond = 2;
 constexpr double kMillisPerSecond = 1000;
-// A worker that is back so soon got no reply where it was sent: no other is sent there for a while.
+// A worker that comes back within the return window got no reply from the controller that it was
+// redirected to. No worker is redirected to that controller during the avoidance time.
 constexpr Millis kReturnWindow = 30'000;
 constexpr Millis kAvoidanceTime = 30'000;
-// The least and the most of a controller's sockets for workers, whatever users need.
-constexpr double kMinWorkerPart = 0.2;
-constexpr double kMaxWorkerPart = 0.62;
-// Of the server sockets; the rest is kept for users that come in a burst.
-constexpr double kPlannedPart = 0.95;
-// With more of its sockets in use, a controller refuses connections now and then.
-constexpr double kFullPart = 0.95 * net::kServerSocketShare;
-// A controller that has not been heard for longer has ended and is not coming back soon.
-constexpr Millis kRecent = 60'000;
-
-double part_in_use(std::size_t sockets, std::size_t max_sockets) {
+// Limits of the share of a controller's sockets that is available to workers, regardless of users.
+constexpr double kMinWorkerShare = 0.2;
+constexpr double kMaxWorkerShare = 0.62;
+// Share of the server sockets that is planned for use. The rest is reserved for bursts of users.
+constexpr double kPlannedShare = 0.95;
+// With a higher share of its sockets in use, a controller occasionally refuses connections.
+constexpr double kFullThreshold = 0.95 * net::kServerSocketShare;
+// A controller from which no status was received for longer is assumed to have stopped.
+constexpr Millis kRecentWindow = 60'000;
+
+double utilization(std::size_t sockets, std::size_t max_sockets) {
     return static_cast<double>(sockets) / static_cast<double>(max_sockets);
 }
 double weighted_load(std::size_t sockets, std::size_t max_sockets, bool leads) {
-    return part_in_use(sockets, max_sockets) * (leads ? kLeaderLoadFactor : 1);
+    return utilization(sockets, max_sockets) * (leads ? kLeaderLoadFactor : 1);
 }
 bool is_full(std::size_t sockets, std::size_t max_sockets) {
-    return part_in_use(sockets, max_sockets) > kFullPart;
+    return utilization(sockets, max_sockets) > kFullThreshold;
 }
 }  // namespace
 
@@ -64,13 +65,13 @@
     if (is_full(status.sockets, status.max_sockets)) peer.full_at = now;
 }
 
-// What users leave of a controller's sockets.
+// Returns how many of a controller's sockets are available to workers, given those used by others.
 std::size_t WorkerBalancer::worker_slots(std::size_t sockets, std::size_t worker_sockets,
                                          std::size_t max_sockets) {
     const auto all = static_cast<double>(max_sockets);
     const auto used_by_others = static_cast<double>(sockets - std::min(sockets, worker_sockets));
-    const double left = kPlannedPart * net::kServerSocketShare * all - used_by_others;
-    return static_cast<std::size_t>(std::clamp(left, kMinWorkerPart * all, kMaxWorkerPart * all));
+    const double left = kPlannedShare * net::kServerSocketShare * all - used_by_others;
+    return static_cast<std::size_t>(std::clamp(left, kMinWorkerShare * all, kMaxWorkerShare * all));
 }
 
 void WorkerBalancer::set_own_load(std::size_t sockets, std::size_t worker_sockets, bool leads,
@@ -83,14 +84,14 @@
 machines::WorkerCapacity WorkerBalancer::worker_capacity(Millis now) const {
     machines::WorkerCapacity total;
     total.max_machines = own_worker_capacity_;
-    total.sockets_exhausted = now - own_full_at_ < kRecent;
+    total.sockets_exhausted = now - own_full_at_ < kRecentWindow;
     for (const auto& [name, peer] : peers_) {
-        if (now - peer.last_status_at > kRecent) continue;
-        total.sockets_exhausted |= now - peer.full_at < kRecent;
+        if (now - peer.last_status_at > kRecentWindow) continue;
+        total.sockets_exhausted |= now - peer.full_at < kRecentWindow;
         total.max_machines += peer.worker_capacity;
     }
     // The capacity of a controller of an earlier version is not known.
-    if (now - older_version_seen_at_ < kRecent) total.max_machines = SIZE_MAX;
+    if (now - older_version_seen_at_ < kRecentWindow) total.max_machines = SIZE_MAX;
     return total;
 }
 
@@ -134,7 +135,8 @@
     }
     if (better.empty() || !take_redirect_token(now)) return {};
     ++redirected_count_;
-    // Spread over all that are better: many controllers move workers at the same time.
+    // Spread workers over all better controllers, because many controllers redirect workers at the
+    // same time.
     const std::size_t choice = std::hash<std::string>{}(heartbeat.machine) % better.size();
     const std::string& peer = *better[choice];
     redirects_[heartbeat.machine] = {peer, now};
@@ -142,10 +144,11 @@
     return peer;
 }
 
-// A token bucket that holds one second's redirects.
+// Takes a token from a bucket whose capacity is one second's redirects.
 bool WorkerBalancer::take_redirect_token(Millis now) {
-    const double per_second = std::max(
-        kMinRedirectsPerSecond, kRedirectedPart * static_cast<double>(settings_.max_sockets));
+    const double per_second =
+        std::max(kMinRedirectsPerSecond,
+                 kRedirectedSharePerSecond * static_cast<double>(settings_.max_sockets));
     const double elapsed_s = static_cast<double>(now - refilled_at_) / kMillisPerSecond;
     redirect_tokens_ = std::min(per_second, redirect_tokens_ + per_second * elapsed_s);
     refilled_at_ = now;
--- a/src/relay/worker_balancer.h
+++ b/src/relay/worker_balancer.h
@@ -1,6 +1,6 @@
-/// \file
-/// To which controller workers should send their heartbeats: spreads them over the controllers by
-/// zone, then by how many of their sockets are in use.
+/// @file
+/// Balances workers over the controllers. A worker preferably sends its heartbeats to a controller
+/// in its own zone, and to one with few sockets in use.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -15,31 +15,38 @@
 
 namespace nickelramp::relay {
 
+/// Decides which workers are redirected to another controller.
+///
 /// Guarantees: a worker is redirected only to a controller that can handle its heartbeat at that
-/// moment, and not to one from which another worker came back in the last 30 s, as that may be out
-/// of the workers' reach. Workers are moved slowly, so that what peers say of themselves keeps up.
-/// Reads no clock (milliseconds are arguments). Owned and called by controller::HeartbeatHandler on
-/// the loop thread; `settings` must outlive it.
+/// moment, and not to one from which another worker came back in the last 30 s, because workers may
+/// be unable to reach that controller. Redirects are rate-limited, so that the peers' load reports
+/// keep up with them. Reads no clock. Owned and called by controller::HeartbeatHandler on the loop
+/// thread. `settings` must outlive it.
 class WorkerBalancer {
   public:
     explicit WorkerBalancer(const wire::Settings& settings) : settings_(settings) {}
 
-    /// A peer's sockets. Ignores names that are not in the settings.
+    /// Records a peer's load. Ignores peers that are not in the settings.
     void on_peer_status(const peers::Status& status, Millis now);
-    /// This controller's sockets in use, how many of them workers use, and whether it leads.
+    /// Records this controller's load.
+    /// @param sockets The number of sockets in use.
+    /// @param worker_sockets The number of those that workers use.
+    /// @param leads Whether this controller is the leader.
     void set_own_load(std::size_t sockets, std::size_t worker_sockets, bool leads, Millis now);
-    /// How many connections of workers this controller has room for beside those of users.
+    /// Returns how many worker connections this controller can accept besides those of users.
     [[nodiscard]] std::size_t own_worker_capacity() const { return own_worker_capacity_; }
-    /// A worker has connected to this controller, perhaps because it got no reply elsewhere.
+    /// Records that a worker has connected to this controller. If the worker was redirected
+    /// recently, the controller that it was redirected to is avoided for a while.
     void on_worker_arrived(const std::string& machine, Millis now);
-    /// The controller that the worker should send its heartbeats to instead; empty: it stays.
-    /// `term`: the leader's.
+    /// Returns the controller that the worker should send its heartbeats to instead, or an empty
+    /// string if it should stay.
+    /// @param term The leader's term.
     [[nodiscard]] std::string better_controller(const wire::Heartbeat& heartbeat,
                                                 std::uint64_t term, Millis now);
-    /// What all controllers that were heard of in the last minute can take; unlimited while one of
-    /// them runs a version that does not say so.
+    /// Returns the total capacity of all controllers whose status was received in the last minute.
+    /// It is unlimited while one of them runs a version that does not report its sockets.
     [[nodiscard]] machines::WorkerCapacity worker_capacity(Millis now) const;
-    /// For the metrics.
+    /// Returns the number of redirected workers, for the metrics.
     [[nodiscard]] std::uint64_t redirected_count() const { return redirected_count_; }
 
   private:
@@ -47,14 +54,14 @@
     struct Peer {
         std::string zone;
         std::uint64_t heartbeat_term = 0;
-        double load = 0;  ///< part of its sockets in use, weighted
+        double load = 0;  ///< share of its sockets in use, weighted
         Millis last_status_at = 0;
-        Millis full_at = kNotSeenYet;  ///< when it was last out of sockets
+        Millis full_at = kNotSeenYet;  ///< when it last was out of sockets
         Millis avoided_until = 0;
         std::size_t worker_sockets = 0;
         std::size_t worker_capacity = 0;
     };
-    /// A worker that was sent to another controller lately.
+    /// A worker that was redirected recently.
     struct Redirect {
         std::string peer;
         Millis at = 0;
@@ -76,12 +83,12 @@
     double own_load_ = 0;
     std::size_t own_worker_capacity_ = 0;
     Millis own_full_at_ = kNotSeenYet;
-    Millis older_version_seen_at_ = kNotSeenYet;  ///< status of a peer without socket counts
-    double redirect_tokens_ = 0;                  ///< workers that may be moved now
+    Millis older_version_seen_at_ = kNotSeenYet;  ///< last status without socket counts
+    double redirect_tokens_ = 0;                  ///< workers that may be redirected now
     Millis refilled_at_ = 0;
     std::uint64_t redirected_count_ = 0;
     std::map<std::string, Redirect> redirects_;  ///< by machine
-    std::deque<RedirectTime> redirect_order_;    ///< the same and older ones, oldest first
+    std::deque<RedirectTime> redirect_order_;    ///< including replaced ones, oldest first
 };
 
 }  // namespace nickelramp::relay
