--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -3,7 +3,7 @@
 namespace nickelramp::peers {
 
 namespace {
-constexpr std::size_t kMaxVarintBytes = 10;  // of 64 bits
+constexpr std::size_t kMaxVarintBytes = 10;  // for a 64-bit value
 }
 
 std::string frame(std::uint64_t kind, const Writer& message) {
@@ -15,8 +15,8 @@
     return length.bytes() + head.bytes() + message.bytes();
 }
 
-// Called whenever no whole frame is left, also where the stream ends with a whole one, as it mostly
-// does: the last frame was once kept for as long as the connection lasted.
+// Called whenever no complete frame is left, even if no bytes follow the last frame, as is usual.
+// Otherwise the last frame would stay in memory for as long as the connection lasts.
 void Framer::discard_consumed() {
     buffer_.erase(0, consumed_);
     consumed_ = 0;
@@ -33,7 +33,7 @@
     Reader reader(unread);
     const std::uint64_t length = reader.number();
     if (!reader.good()) {
-        broken_ = unread.size() >= kMaxVarintBytes;  // otherwise the rest of it is still to come
+        broken_ = unread.size() >= kMaxVarintBytes;  // otherwise the length is incomplete
         discard_consumed();
         return std::nullopt;
     }
--- a/src/peers/codec.h
+++ b/src/peers/codec.h
@@ -1,13 +1,13 @@
 /// @file
 /// The encoding of messages between controllers. A connection carries a stream of frames:
 ///
-///     length   varint, of what follows; at most 64 KiB
+///     length   varint, the number of bytes that follow; at most 64 KiB
 ///     version  varint
 ///     kind     varint, a MessageKind
 ///     fields   varints (LEB128), texts (length and bytes), lists (count and items)
 ///
-/// Compatibility: later versions append fields, which a reader ignores, and add kinds, which are
-/// dropped. These classes know nothing of the messages; field_codec.h does.
+/// Compatibility: later versions may append fields, which a reader ignores, and add kinds, which
+/// are dropped. The classes here are independent of the message types; see field_codec.h for those.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -41,8 +41,8 @@
     std::string bytes_;
 };
 
-/// Reads fields and never goes past the end. After a field that cannot be read, good() is false and
-/// all that is read is zero or empty.
+/// Reads fields and never reads past the end. After a field that cannot be read, good() is false
+/// and all further fields read as zero or empty.
 class Reader {
   public:
     explicit Reader(std::string_view bytes) : remaining_(bytes) {}
@@ -69,8 +69,8 @@
         remaining_.remove_prefix(size);
         return value;
     }
-    /// The number of items to come. Each takes at least one byte, so that a count beyond what
-    /// remains is an error; nobody allocates for it.
+    /// Reads the number of items in a list. Each item takes at least one byte, so a count beyond
+    /// the remaining bytes is an error. This prevents allocations for a false count.
     std::uint64_t count() {
         const std::uint64_t items = number();
         return items > remaining_.size() ? fail() : items;
@@ -89,10 +89,10 @@
     bool good_ = true;
 };
 
-/// The frame of a message of this protocol version. `kind` is a MessageKind.
+/// Returns the frame of a message in this protocol version. `kind` is a MessageKind.
 std::string frame(std::uint64_t kind, const Writer& message);
 
-/// Cuts a stream of bytes into frames.
+/// Splits a stream of bytes into frames.
 class Framer {
   public:
     struct Frame {
@@ -101,12 +101,13 @@
     };
 
     void add(std::string_view bytes) { buffer_.append(bytes); }
-    /// The next whole frame; nothing if more bytes are needed or the stream is broken.
+    /// Returns the next complete frame, or nothing if more bytes are needed or the stream is
+    /// broken.
     std::optional<Frame> next();
-    /// No frame boundary can be found any more: the connection is to be closed.
+    /// Returns whether frame boundaries can no longer be found. The connection must then be closed.
     bool broken() const { return broken_; }
-    /// Memory in use: bytes of frames that are not complete yet, and of those returned since the
-    /// buffer was last compacted.
+    /// Returns the memory in use: the bytes of incomplete frames, and of the frames returned since
+    /// the buffer was last compacted.
     std::size_t buffered_bytes() const { return buffer_.size(); }
 
   private:
--- a/src/peers/field_codec.h
+++ b/src/peers/field_codec.h
@@ -4,8 +4,8 @@
 ///     template <typename Codec, MessageOf<Status> Message>
 ///     void visit_fields(Codec& codec, Message& message)
 ///
-/// that names its fields in wire order; a FieldEncoder writes them and a FieldDecoder reads them,
-/// so that the two cannot diverge. Used by the message sources of this module only.
+/// that visits its fields in wire order. Both FieldEncoder and FieldDecoder use that function, so
+/// that writing and reading cannot diverge. Used only by the message sources of this module.
 #pragma once
 #include <cmath>
 #include <concepts>
@@ -21,12 +21,13 @@
 
 namespace nickelramp::peers {
 
-/// `Message`, const when it is encoded and not when it is decoded.
+/// Satisfied by `const Message`, which is encoded, and by `Message`, which is decoded into.
 template <typename Candidate, typename Message>
 concept MessageOf = std::same_as<std::remove_const_t<Candidate>, Message>;
 
 inline constexpr double kMillisecondsPerSecond = 1000.0;
-/// Longer durations are cut to it, about a year: a sender's mistake must not overflow.
+/// Longer durations are clamped to this value, about a year, so that a faulty value from a sender
+/// cannot cause an overflow.
 inline constexpr double kMaxDurationSeconds = 3.2e7;
 
 /// Appends fields to a message's bytes.
@@ -46,19 +47,19 @@
     void enumeration(Enum value, Enum /*last*/) {
         writer_.number(static_cast<std::uint64_t>(value));
     }
-    /// Seconds, as milliseconds.
+    /// Writes seconds as milliseconds.
     void duration(double seconds) { writer_.number(to_milliseconds(seconds)); }
-    /// Seconds, as milliseconds plus one; 0 stands for none.
+    /// Writes seconds as milliseconds plus one; 0 stands for no value.
     void optional_duration(const std::optional<double>& seconds) {
         writer_.number(seconds ? to_milliseconds(*seconds) + 1 : 0);
     }
-    /// `visit` names the fields of an item.
+    /// Writes the number of items, then each item. `visit` visits the fields of an item.
     template <typename Items, typename Visit>
     void list(const Items& items, Visit visit) {
         writer_.number(items.size());
         for (const auto& item : items) visit(item);
     }
-    /// All fields are written, those of later versions included.
+    /// Always true: the encoder writes all fields, including those that earlier versions lack.
     static constexpr bool has_more() { return true; }
 
     const Writer& message() const { return writer_; }
@@ -72,8 +73,8 @@
     Writer writer_;
 };
 
-/// Reads the fields that a FieldEncoder wrote. A field that is cut short or out of range makes the
-/// whole message unreadable: good() is false from then on.
+/// Reads the fields that a FieldEncoder wrote. A truncated or out-of-range field makes the whole
+/// message unreadable, and good() is false from then on.
 class FieldDecoder {
   public:
     explicit FieldDecoder(std::string_view body) : reader_(body) {}
@@ -113,7 +114,8 @@
             items.push_back(std::move(item));
         }
     }
-    /// False at the end of a message of an earlier version, which has no further fields.
+    /// Returns whether further fields follow. False at the end of a message of an earlier version,
+    /// which lacks the fields added later.
     bool has_more() const { return good() && !reader_.remaining().empty(); }
     bool good() const { return in_range_ && reader_.good(); }
 
@@ -126,7 +128,7 @@
     bool in_range_ = true;
 };
 
-/// The whole frame of a message.
+/// Returns the complete frame of a message.
 template <typename Message>
 std::string encode_frame(MessageKind kind, const Message& message) {
     FieldEncoder encoder;
@@ -134,7 +136,7 @@
     return frame(static_cast<std::uint64_t>(kind), encoder.message());
 }
 
-/// Nothing if the body cannot be read or the message names no sender.
+/// Returns nothing if the body cannot be read or the message has no sender.
 template <typename Message>
 std::optional<Message> decode_body(std::string_view body) {
     FieldDecoder decoder(body);
--- a/src/peers/message_dispatch.h
+++ b/src/peers/message_dispatch.h
@@ -1,15 +1,19 @@
 /// @file
-/// From frames to the methods of a PeerMessageHandler.
+/// Decodes frames and passes their messages to a PeerMessageHandler.
 #pragma once
 #include "peers/codec.h"
 #include "peers/peer_message_handler.h"
 
 namespace nickelramp::peers {
 
-/// `unreadable`: the body is no message of its kind. `unknown_kind`: of a later version.
-enum class DispatchResult { delivered, unreadable, unknown_kind };
+enum class DispatchResult {
+    delivered,
+    unreadable,   ///< the body is not a valid message of its kind
+    unknown_kind  ///< the kind was added by a later version
+};
 
-/// Decodes the frame and calls the method for its kind. Called by PeerNetwork for every frame.
+/// Decodes the frame and calls the handler's method for its kind. Called by PeerNetwork for every
+/// frame.
 [[nodiscard]] DispatchResult dispatch(const Framer::Frame& frame, PeerMessageHandler& handler);
 
 }  // namespace nickelramp::peers
--- a/src/peers/messages.cpp
+++ b/src/peers/messages.cpp
@@ -4,7 +4,7 @@
 
 namespace nickelramp::peers {
 
-// Found by argument-dependent lookup from encode_frame and decode_body.
+// encode_frame and decode_body find these functions by argument-dependent lookup.
 
 template <typename Codec, MessageOf<Status> Message>
 static void visit_fields(Codec& codec, Message& status) {
@@ -14,16 +14,16 @@
         codec.texts(progress.id);
         codec.numbers(progress.done, progress.running);
     });
-    if (!codec.has_more()) return;  // of a version without partition responders
+    if (!codec.has_more()) return;  // sent by a version without partition responders
     codec.numbers(status.delegation_term, status.delegation_clock_ms, status.last_reply_age_ms,
                   status.confirms_cancellations);
     codec.list(status.lost_zones, [&](auto& lost) {
         codec.texts(lost.zone);
         codec.numbers(lost.age_ms);
     });
-    if (!codec.has_more()) return;  // of a version without helpers
+    if (!codec.has_more()) return;  // sent by a version without helpers
     codec.numbers(status.lease_id);
-    if (!codec.has_more()) return;  // of a version without forwarding
+    if (!codec.has_more()) return;  // sent by a version without forwarding
     codec.numbers(status.heartbeat_term, status.sockets, status.worker_sockets, status.max_sockets);
 }
 
--- a/src/peers/peer_connection.cpp
+++ b/src/peers/peer_connection.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::size_t kMaxUnsentBytes = std::size_t{256} * 1024;
-// Batched messages leave room for the others.
+// Lower than the limit for other messages, so that batches cannot crowd them out.
 constexpr std::size_t kMaxUnsentBatchBytes = kMaxUnsentBytes / 2;
 }  // namespace
 
--- a/src/peers/peer_connection.h
+++ b/src/peers/peer_connection.h
@@ -12,8 +12,8 @@
 namespace nickelramp::peers {
 
 /// Sends and receives frames on one connection, with a bounded amount of unsent data. Held by
-/// shared_ptr; its events go to a Listener, which must outlive it or close it before. To be used on
-/// the loop's thread only.
+/// shared_ptr. Reports events to a Listener, which must outlive the connection or close it first.
+/// Must be used on the loop thread only.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
   public:
     enum class State { connecting, open, closed };
@@ -26,12 +26,12 @@
         Listener& operator=(const Listener&) = delete;
 
         virtual void on_frame(const Framer::Frame& frame) = 0;
-        /// A batch has been begun: flush() is to be called in this turn of the loop.
+        /// Called when a batch is started. flush() must be called in this iteration of the loop.
         virtual void on_batch_started(PeerConnection& connection) = 0;
-        /// No frames can be cut from what the peer sends. Followed by on_ended().
+        /// Called when the data from the peer cannot be split into frames. Followed by on_ended().
         virtual void on_broken_stream() = 0;
-        /// The peer has closed the connection, or sends a broken stream; it is closed here too.
-        /// Not called after close().
+        /// Called after the connection was closed because the peer closed it or sent a broken
+        /// stream. Not called after close().
         virtual void on_ended(PeerConnection& connection) = 0;
 
       protected:
@@ -41,25 +41,25 @@
     PeerConnection(uv_loop_t* loop, Listener& listener) : stream_(loop), listener_(listener) {}
 
     State state() const { return state_; }
-    /// For uv_accept.
+    /// Returns the handle to pass to uv_accept.
     uv_stream_t* handle() const { return stream_.handle(); }
 
-    /// Becomes open when the peer accepts; closed when it does not.
+    /// Starts to connect. The state becomes open when the peer accepts, and closed on failure.
     void connect(const sockaddr_in& address);
-    /// Starts to read a connection that has been accepted.
+    /// Starts to read from an accepted connection.
     void start_reading();
     void close();
 
-    /// Sends the frame now. Closes the connection if the peer has left too much unread: the next
-    /// one starts afresh.
+    /// Sends the frame now. Closes the connection if too much data is unsent, because the peer does
+    /// not keep up. A new connection starts without a backlog.
     void send(const std::string& frame);
-    /// Keeps the frame until flush(). False, and nothing is kept, if the peer does not keep up:
-    /// batched messages are better dropped than late.
+    /// Buffers the frame until flush(). Returns false and drops the frame if the peer does not keep
+    /// up, because dropping a batched message is better than sending it late.
     [[nodiscard]] bool send_batched(const std::string& frame);
     /// Sends the batch in one write.
     void flush();
 
-    /// Called by Stream. A negative size says that the connection has ended.
+    /// Called by Stream. A negative size means that the connection has ended.
     void on_bytes(const char* data, ssize_t size);
 
   private:
@@ -71,7 +71,7 @@
     Listener& listener_;
     State state_ = State::connecting;
     Framer framer_;
-    std::size_t unsent_bytes_ = 0;  // given to the stream and not sent yet
+    std::size_t unsent_bytes_ = 0;  // passed to the stream, but not sent yet
     std::string batch_;
 };
 
--- a/src/peers/peer_message_handler.h
+++ b/src/peers/peer_message_handler.h
@@ -1,14 +1,14 @@
 /// @file
-/// What receives the messages of other controllers.
+/// The interface for receiving messages from other controllers.
 #pragma once
 #include "peers/forwarding.h"
 #include "peers/messages.h"
 
 namespace nickelramp::peers {
 
-/// Receives messages, one method for each kind. The controller implements it; PeerNetwork calls it
-/// on the loop's thread with messages that could be read. Nothing proves who sent them or that they
-/// are still current: the receiver checks terms, incarnations and tokens.
+/// Receives decoded messages, with one method for each kind. Implemented by the controller and
+/// called by PeerNetwork on the loop thread. The messages are not authenticated and may be
+/// outdated, so the receiver must check terms, incarnations and tokens.
 class PeerMessageHandler {
   public:
     PeerMessageHandler() = default;
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -14,7 +14,7 @@
 constexpr Millis kReconnectInterval = 1000;
 constexpr Millis kConnectTimeout = 1500;
 constexpr int kListenBacklog = 16;
-// A restarted peer may still have a connection of its former process here for a while.
+// After a peer restarts, connections from its previous process may remain open for a while.
 constexpr std::size_t kMaxConnectionsPerPeer = 3;
 constexpr std::size_t kMinIncomingLimit = 16;
 constexpr std::size_t kMaxLoggedDrops = 100;
@@ -26,18 +26,18 @@
       handler_(handler),
       listener_(loop, uv_tcp_init, this),
       reconnect_timer_(loop, [this] { connect_all(); }),
-      after_reading_(loop, uv_check_init, this),
-      before_waiting_(loop, uv_prepare_init, this) {
+      flush_check_(loop, uv_check_init, this),
+      flush_prepare_(loop, uv_prepare_init, this) {
     for (const wire::Peer& peer : peers)
         targets_.push_back({peer.name, *net::parse_address(peer.address), nullptr});
-    uv_check_start(after_reading_.get(), [](uv_check_t* handle) {
+    uv_check_start(flush_check_.get(), [](uv_check_t* handle) {
         static_cast<PeerNetwork*>(handle->data)->flush_batches();
     });
-    uv_prepare_start(before_waiting_.get(), [](uv_prepare_t* handle) {
+    uv_prepare_start(flush_prepare_.get(), [](uv_prepare_t* handle) {
         static_cast<PeerNetwork*>(handle->data)->flush_batches();
     });
-    after_reading_.unref();
-    before_waiting_.unref();
+    flush_check_.unref();
+    flush_prepare_.unref();
 }
 
 PeerNetwork::~PeerNetwork() {
@@ -132,12 +132,12 @@
 }
 
 void PeerNetwork::on_batch_started(PeerConnection& connection) {
-    batches_.push_back(connection.weak_from_this());
+    batched_connections_.push_back(connection.weak_from_this());
 }
 
 void PeerNetwork::flush_batches() {
-    for (const auto& batch : std::exchange(batches_, {})) {
-        if (const auto connection = batch.lock()) connection->flush();
+    for (const auto& weak_connection : std::exchange(batched_connections_, {})) {
+        if (const auto connection = weak_connection.lock()) connection->flush();
     }
 }
 
--- a/src/peers/peer_network.h
+++ b/src/peers/peer_network.h
@@ -23,32 +23,34 @@
 namespace nickelramp::peers {
 
 /// Keeps one outgoing connection to every peer, on which this controller sends, and accepts the
-/// connections on which the peers send. Lost connections are opened again every second; what was
-/// under way on them is lost. The controller owns it. To be used on the loop's thread only.
+/// connections on which the peers send. Lost connections are reopened every second. Messages in
+/// flight on a lost connection are lost. Owned by the controller. Must be used on the loop thread
+/// only.
 class PeerNetwork : private PeerConnection::Listener {
   public:
-    /// The handler must outlive the network; it is called from the loop once listen() succeeded.
+    /// The handler must outlive the network. It is called from the loop after listen() succeeded.
     PeerNetwork(uv_loop_t* loop, const std::vector<wire::Peer>& peers, PeerMessageHandler& handler);
     ~PeerNetwork();
     PeerNetwork(const PeerNetwork&) = delete;
     PeerNetwork& operator=(const PeerNetwork&) = delete;
 
-    /// Accepts connections at the address and connects to the peers. 0 or a libuv error.
+    /// Accepts connections at the address and connects to the peers. Returns 0 or a libuv error.
     [[nodiscard]] int listen(const sockaddr_in& address);
 
     /// Sends the frame if the peer is connected, and drops it otherwise.
     void send(const std::string& peer, const PeerFrame& frame);
     void send_all(const PeerFrame& frame);
-    /// Sends all frames that were given in one turn of the loop in one write. For heartbeats, which
-    /// come in great numbers. False, and nothing is sent, if the peer is not connected or does not
-    /// keep up, or the frame is too large.
+    /// Sends the frame in one write together with all others of the same iteration of the loop.
+    /// Used for heartbeats, which are numerous. Returns false and drops the frame if the peer is
+    /// not connected or does not keep up, or if the frame is too large.
     [[nodiscard]] bool send_batched(const std::string& peer, const PeerFrame& frame);
-    /// False, and nothing is sent, if the lease is over or the peer is not connected.
+    /// Sends the frame. Returns false and drops the frame if the lease has expired or the peer is
+    /// not connected.
     bool send(const lease::LeaseProof<lease::Scheduling>& proof, const std::string& peer,
               const LeaderFrame& frame);
 
   private:
-    /// One of the controllers that this one connects to.
+    /// A peer that this controller connects to.
     struct Target {
         std::string name;
         sockaddr_in address;
@@ -58,7 +60,7 @@
     enum class DropReason { broken_stream, unreadable, unknown_kind };
     struct Drop {
         DropReason reason;
-        std::uint64_t kind;  // 0: none
+        std::uint64_t kind;  // 0 if there is none
         auto operator<=>(const Drop&) const = default;
     };
 
@@ -82,10 +84,10 @@
     std::set<std::shared_ptr<PeerConnection>> incoming_;
     std::set<Drop> logged_drops_;
     net::Timer reconnect_timer_;
-    // Batches are flushed after the loop has read, and before it waits.
-    net::UvHandle<uv_check_t> after_reading_;
-    net::UvHandle<uv_prepare_t> before_waiting_;
-    std::vector<std::weak_ptr<PeerConnection>> batches_;
+    // Flush the batches after the loop has polled for I/O, and before it polls again.
+    net::UvHandle<uv_check_t> flush_check_;
+    net::UvHandle<uv_prepare_t> flush_prepare_;
+    std::vector<std::weak_ptr<PeerConnection>> batched_connections_;
 };
 
 }  // namespace nickelramp::peers
--- a/src/relay/heartbeat_forwarder.h
+++ b/src/relay/heartbeat_forwarder.h
@@ -38,7 +38,7 @@
     HeartbeatForwarder(std::string name, std::uint64_t incarnation, Send send)
         : name_(std::move(name)), incarnation_(incarnation), send_(std::move(send)) {}
 
-    /// Records the leader's name, process and clock if the status comes from a leader.
+    /// Updates which leader is known, and its process and clock, from a peer's status.
     void on_peer_status(const peers::Status& status, Millis now);
     /// Returns the term of the leader that heartbeats can be forwarded to now, or 0 if there is
     /// none.
--- a/src/relay/worker_balancer.cpp
+++ b/src/relay/worker_balancer.cpp
@@ -32,7 +32,8 @@
 constexpr double kPlannedShare = 0.95;
 // With a higher share of its sockets in use, a controller occasionally refuses connections.
 constexpr double kFullThreshold = 0.95 * net::kServerSocketShare;
-// A controller from which no status was received for longer is assumed to have stopped.
+// A controller from which no status was received for longer is assumed to have stopped, and not to
+// return soon.
 constexpr Millis kRecentWindow = 60'000;
 
 double utilization(std::size_t sockets, std::size_t max_sockets) {
