--- a/src/relay/worker_balancer.h
+++ b/src/relay/worker_balancer.h
@@ -54,7 +54,7 @@
     struct Peer {
         std::string zone;
         std::uint64_t heartbeat_term = 0;
-        double load = 0;  ///< share of its sockets in use, weighted
+        double load = 0;  ///< share of its sockets in use, weighted higher for a leader
         Millis last_status_at = 0;
         Millis full_at = kNotSeenYet;  ///< when it last was out of sockets
         Millis avoided_until = 0;
--- a/tests/forwarding_simulation.cpp
+++ b/tests/forwarding_simulation.cpp
@@ -33,7 +33,7 @@
         controller.name, controller.incarnation,
         [this, &controller](const std::string& to, const peers::PeerFrame& frame) {
             trace_.add(environment_.now(), "peer-message", controller.name, to, traced(frame));
-            // As on the real connection: what cannot be decoded is not delivered.
+            // As on a real connection, only messages that can be decoded are delivered.
             peers::Framer framer;
             framer.add(frame.frame);
             const auto message = peers::decode_forwarded_heartbeat(framer.next()->body);
@@ -61,7 +61,7 @@
         act();
 }
 
-// Every second: leaders say that they lead, and some controllers freeze or restart.
+// Runs every second. Leaders send their status, and some controllers freeze or restart.
 void ForwardingSimulation::broadcast_status() {
     environment_.after(kStatusInterval, [this] { broadcast_status(); });
     for (auto& controller : controllers_) {
@@ -72,7 +72,7 @@
 
 void ForwardingSimulation::step_process(Controller& controller) {
     if (environment_.now() >= controller.frozen_until && !controller.waiting.empty()) {
-        // What waited is read before any timer runs.
+        // Messages that arrived during the freeze are read before any timer runs.
         const auto waited = std::exchange(controller.waiting, {});
         for (const auto& act : waited) act();
     }
@@ -109,21 +109,21 @@
         follows_term;
     run_in_process(controller, [this, &controller, heartbeat, follows_term,
                                 respond = std::move(respond)] {
-        const Millis taken_at = environment_.now();
-        auto pass_on = [this, &controller, taken_at, heartbeat, respond](
+        const Millis forwarded_at = environment_.now();
+        auto pass_on = [this, &controller, forwarded_at, heartbeat, respond](
                            const machines::HeartbeatReply& reply, std::uint64_t term) {
             trace_.add(environment_.now(), "relayed-answer", controller.name, heartbeat.machine,
                        term, traced(reply));
             if (reply.status == machines::kHeartbeatAccepted) {
                 ++coverage_.relayed;
-                EXPECT_LT(environment_.now() - taken_at, kWorkerTimeout)
+                EXPECT_LT(environment_.now() - forwarded_at, kWorkerTimeout)
                     << "the worker no longer waits for it";
-                // send_reply() marks replies with their machine.
+                // deliver_to_leaders() sets the holder of an accepting reply to its machine.
                 EXPECT_EQ(reply.holder, heartbeat.machine) << "another worker's reply";
             }
             respond(reply, term);
         };
-        // False: no leader can be reached, and the worker gets no reply.
+        // If this returns false, no leader is reachable and the worker gets no reply.
         (void)controller.forwarder->forward(heartbeat, follows_term, pass_on, clock(controller));
     });
 }
@@ -152,9 +152,9 @@
                                          const Leader& leader) {
     ++coverage_.admitted;
     coverage_.followed += arrival.follows_reply ? 1 : 0;
-    EXPECT_EQ(message.term, leader.term) << "meant for another term";
+    EXPECT_EQ(message.term, leader.term) << "addressed to another term";
     EXPECT_LE(environment_.now() - arrival.arrived_at, kWorkerTimeout)
-        << "delivered long after it was made";
+        << "delivered too long after it was sent";
     const wire::Heartbeat& heartbeat = message.heartbeat;
     const std::uint64_t followed_term =
         followed_terms_.at({heartbeat.machine, {heartbeat.incarnation, heartbeat.sequence}});
--- a/tests/forwarding_simulation.h
+++ b/tests/forwarding_simulation.h
@@ -1,8 +1,8 @@
-/// \file
-/// Controllers that forward workers' heartbeats to the leader, in simulated time: messages between
-/// them are lost, repeated and delayed, they freeze and restart. Wraps the real HeartbeatForwarder
-/// and ForwardAdmission, and checks at every step what the leader's cluster state relies on. Used
-/// by ClusterSimulation.
+/// @file
+/// Simulates controllers that forward workers' heartbeats to the leader. Messages between
+/// controllers are lost, duplicated and delayed, and controllers freeze and restart. Uses the real
+/// HeartbeatForwarder and ForwardAdmission, and checks at every step the guarantees that the
+/// leader's cluster state relies on. Used by ClusterSimulation.
 #pragma once
 #include <functional>
 #include <map>
@@ -18,11 +18,11 @@
 namespace nickelramp::test {
 
 struct ForwardingFaults {
-    double lost = 0;            ///< probability for a message between controllers
-    double repeated = 0;        ///< the same: it arrives once more, up to a minute later
-    double delayed = 0;         ///< the same: it arrives up to a minute late
-    double freezes_per_s = 0;   ///< for one forwarder, each for up to 12 s
-    double restarts_per_s = 0;  ///< for one forwarder
+    double lost = 0;            ///< probability that a message between controllers is lost
+    double repeated = 0;        ///< probability that it arrives a second time, within a minute
+    double delayed = 0;         ///< probability that it arrives up to a minute late
+    double freezes_per_s = 0;   ///< rate for each forwarder; a freeze lasts up to 12 s
+    double restarts_per_s = 0;  ///< rate for each forwarder
 };
 
 class ForwardingSimulation {
@@ -31,12 +31,13 @@
         std::size_t node = 0;
         std::uint64_t term = 0, incarnation = 0;
     };
-    /// What the surrounding simulation gives.
+    /// Functions that the surrounding simulation provides.
     struct Environment {
         std::function<void(Millis delay, std::function<void()>)> after;
         std::function<Millis()> now;
-        std::function<std::vector<Leader>()> leaders;  ///< all that believe that they lead
-        /// The reply of the node's control loop.
+        /// Returns all nodes that consider themselves leader.
+        std::function<std::vector<Leader>()> leaders;
+        /// Returns the reply of the node's control loop.
         std::function<machines::HeartbeatReply(std::size_t node, const wire::Heartbeat&,
                                                const machines::HeartbeatArrival&)>
             deliver_heartbeat;
@@ -44,14 +45,16 @@
     ForwardingSimulation(std::size_t forwarders, ForwardingFaults faults, std::mt19937_64& random,
                          Environment environment, Trace& trace);
 
-    /// `follows_term`: of the last accepting reply that the worker got from this forwarder;
-    /// `respond` gets the leader's reply and its term, or is never called.
+    /// Sends a worker's heartbeat to a forwarder.
+    /// @param follows_term The term of the last accepting reply that the worker received from this
+    /// forwarder.
+    /// @param respond Called with the leader's reply and its term, or never.
     void send_heartbeat(std::size_t forwarder, const wire::Heartbeat& heartbeat,
                         std::uint64_t follows_term, relay::HeartbeatForwarder::Respond respond);
     std::size_t size() const { return controllers_.size(); }
     void set_faults(ForwardingFaults faults) { faults_ = faults; }
 
-    /// How often each case came about.
+    /// How often each case occurred.
     struct Coverage {
         std::size_t admitted = 0, followed = 0, relayed = 0, stale = 0, other_term = 0,
                     unmatched = 0, expired = 0;
@@ -64,12 +67,13 @@
         std::unique_ptr<relay::HeartbeatForwarder> forwarder;
         std::uint64_t incarnation = 0;
         Millis frozen_until = 0;
-        double drift = 0;                            ///< of its steady clock, as a part
-        std::vector<std::function<void()>> waiting;  ///< messages that came while it was frozen
+        double drift = 0;                            ///< relative drift of its steady clock
+        std::vector<std::function<void()>> waiting;  ///< messages that arrived while frozen
     };
     bool chance(double probability) {
         return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
     }
+    /// Returns a random duration from 1 ms to `limit`.
     Millis up_to(Millis limit) {
         return 1 + static_cast<Millis>(random_() % static_cast<unsigned>(limit));
     }
@@ -77,9 +81,10 @@
     void broadcast_status();
     void step_process(Controller& controller);
     void send_leader_statuses(Controller& controller);
-    /// The message arrives once or more, sooner or later, or never.
+    /// Simulates sending a message, which may be lost, delayed or duplicated. `arrive` is called
+    /// for each arrival.
     void send(const std::function<void()>& arrive);
-    /// In the process that the controller runs by then, once it is not frozen.
+    /// Calls `act` once the controller is no longer frozen, in the process that it then runs.
     void run_in_process(Controller& controller, std::function<void()> act);
     Millis clock(const Controller& controller) const;
     void deliver_to_leaders(const peers::ForwardedHeartbeat& message);
@@ -99,7 +104,7 @@
         machines::MessagePosition position;
         friend auto operator<=>(const HeartbeatId&, const HeartbeatId&) = default;
     };
-    /// The term of the reply that each heartbeat really follows; 0: none.
+    /// The term of the reply that each heartbeat actually follows; 0 if there was none.
     std::map<HeartbeatId, std::uint64_t> followed_terms_;
     Coverage coverage_;
 };
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,5 +1,5 @@
-// The encoding of messages between controllers: round trips, truncation at every byte, and random
-// bytes.
+// Tests of the encoding of messages between controllers, with round trips, truncation at every byte
+// and random bytes.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -29,7 +29,7 @@
     return grant;
 }
 
-// The body of the first frame in the bytes.
+// Returns the body of the first frame in the bytes.
 std::string body_of(const std::string& bytes) {
     nickelramp::test::test_trace().add(0, "frame", nickelramp::test::traced(PeerFrame{bytes}));
     Framer framer;
@@ -39,7 +39,7 @@
     return frame ? frame->body : "";
 }
 
-// What is decoded is encoded to the same bytes again.
+// Expects that the decoded message encodes to the same bytes.
 template <typename Message, typename Decode>
 void expect_round_trip(const Message& message, Decode decode) {
     const auto frame = encode(message);
@@ -106,12 +106,12 @@
     endless.add(std::string(11, '\xff'));
     EXPECT_FALSE(endless.next());
     EXPECT_TRUE(endless.broken());
-    // A count far beyond the message's end must not allocate for it.
-    Writer false_count;
-    false_count.text("ramper-1");
-    for (int i = 0; i < 9; ++i) false_count.number(1);
-    false_count.number(UINT64_MAX);
-    EXPECT_FALSE(decode_shard_grant(false_count.bytes()));
+    // A count far beyond the end of the message must not cause an allocation.
+    Writer oversized_count;
+    oversized_count.text("ramper-1");
+    for (int i = 0; i < 9; ++i) oversized_count.number(1);
+    oversized_count.number(UINT64_MAX);
+    EXPECT_FALSE(decode_shard_grant(oversized_count.bytes()));
 }
 
 TEST(Peers, RandomBytesNeverCrash) {
@@ -130,15 +130,16 @@
     EXPECT_LT(decoded, 50000);
 }
 
-// Guards against ending a term in an outage that everybody has: a leader once stepped down because
-// its followers, which ask little, had not noticed the outage yet.
-TEST(Peers, AnOutageIsNotTakenForARejection) {
+// Guards against ending a term in an outage that affects all controllers. A leader stepped down
+// because its followers, which send few requests to the key-value store, had not noticed the outage
+// yet.
+TEST(Peers, AnOutageIsNotMistakenForARejection) {
     using nickelramp::readiness::peer_served_meanwhile;
     const nickelramp::Millis rejected_since = 100'000, now = 104'000;
     EXPECT_FALSE(
         peer_served_meanwhile(rejected_since, 99'900, now - 500, now));  // before the outage
-    EXPECT_TRUE(
-        peer_served_meanwhile(rejected_since, 102'000, now - 500, now));  // served all the while
+    EXPECT_TRUE(peer_served_meanwhile(rejected_since, 102'000, now - 500,
+                                      now));  // answered during the outage
     EXPECT_FALSE(
         peer_served_meanwhile(rejected_since, 102'000, now - 9000, now));  // its status is too old
 }
--- a/tests/relay_simulation_test.cpp
+++ b/tests/relay_simulation_test.cpp
@@ -1,5 +1,5 @@
-// Simulated clusters in which heartbeats are forwarded or find no socket, and leaders whose
-// commands reach no machine.
+// Simulated clusters in which heartbeats are forwarded or refused for lack of sockets, or in which
+// the leader's commands reach no machine.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
@@ -24,7 +24,7 @@
     EXPECT_GT(unlimited.machines(), 3u);
 }
 
-// A machine whose heartbeats find no socket looks like an inbound-only one.
+// A machine whose heartbeats are refused for lack of sockets looks like an inbound-only machine.
 TEST(WorkerCapacity, MissingHeartbeatsProveNothingWhileControllersRefuseConnections) {
     for (const bool refused : {false, true}) {
         ClusterSimulation simulation(6, {});
@@ -38,15 +38,15 @@
     }
 }
 
-// Heartbeats arrive through other controllers while the leader's commands reach no machine; where
-// one machine answers, the fault lies with the others.
+// Heartbeats arrive through other controllers while the leader's commands reach no machine. If at
+// least one machine answers, the other machines are at fault.
 TEST(CommandsLost, OnlyIfNoMachineAnswersAnyCommand) {
     for (const std::size_t answering : {0, 1}) {
         ClusterSimulation simulation(7, {});
         simulation.submit(job("job-0", "standing", 3, 3));
         simulation.run_until(30'000);
         ASSERT_GE(simulation.working_machines().size(), 3u) << simulation.describe_cluster_state();
-        simulation.submit(job("job-1", "sweep", 3, 1));  // of the twelve GPUs of its team
+        simulation.submit(job("job-1", "sweep", 3, 1));  // uses the rest of its team's 12 GPUs
         const std::size_t all = simulation.machines();
         for (std::size_t i = answering; i < all; ++i)
             simulation.block_commands("i-" + std::to_string(100'000 + i),
@@ -58,8 +58,8 @@
         while (simulation.now() < end && !simulation.leader()->commands_lost(simulation.now()))
             simulation.run_until(simulation.now() + 100);
         EXPECT_EQ(simulation.leader()->commands_lost(simulation.now()), answering == 0);
-        // One machine sends nothing from here on: it is given up only where others answer, or
-        // later.
+        // One machine sends nothing from here on. It is declared lost soon only if another machine
+        // answers commands, and later otherwise.
         simulation.block_heartbeats("i-100001", simulation.now() + 60'000);
         simulation.run_until(simulation.now() + 13'000);
         EXPECT_EQ(simulation.removed("i-100001"), answering != 0);
@@ -71,9 +71,9 @@
     }
 }
 
-// A day on which every heartbeat is forwarded. The simulations check the rules of the protocol.
-void run_forwarded_day(ClusterSimulation& simulation, std::uint64_t seed,
-                       const ForwardingFaults& forwarding_faults, const Faults& faults) {
+// Runs a workload in which every heartbeat is forwarded. The simulation checks the protocol rules.
+void run_forwarded_workload(ClusterSimulation& simulation, std::uint64_t seed,
+                            const ForwardingFaults& forwarding_faults, const Faults& faults) {
     simulation.forward_heartbeats(3, forwarding_faults);
     simulation.set_faults(faults);
     for (int i = 0; i < 8; ++i) {
@@ -111,7 +111,7 @@
     test::ForwardingSimulation::Coverage total;
     for (std::uint64_t seed = 1; seed <= 12 && !testing::Test::HasFailure(); ++seed) {
         ClusterSimulation simulation(seed, {});
-        run_forwarded_day(simulation, seed, forwarding_faults, faults);
+        run_forwarded_workload(simulation, seed, forwarding_faults, faults);
         const auto& day = simulation.forwarding().coverage();
         total.admitted += day.admitted;
         total.followed += day.followed;
@@ -130,10 +130,10 @@
     EXPECT_GT(total.expired, 5u);
 }
 
-// Without faults no task ends because heartbeats are forwarded.
+// Without faults, no task is killed because heartbeats are forwarded.
 TEST(Forwarding, NothingIsLostToForwardingAlone) {
     ClusterSimulation simulation(3, {});
-    run_forwarded_day(simulation, 3, {}, {});
+    run_forwarded_workload(simulation, 3, {}, {});
     EXPECT_EQ(simulation.tasks_killed_by_lease(), 0u);
 }
 
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,5 +1,5 @@
-// Forwarded heartbeats: the messages, the forwarding and the admitting end by themselves, and where
-// workers are redirected to. Simulated clusters with forwarding: relay_simulation_test.cpp.
+// Tests of the messages for forwarded heartbeats, HeartbeatForwarder, ForwardAdmission and
+// WorkerBalancer. Tests with simulated clusters are in relay_simulation_test.cpp.
 #include <gtest/gtest.h>
 
 #include "relay/worker_balancer.h"
@@ -117,7 +117,7 @@
 struct HeartbeatForwarderTest : testing::Test {
     std::vector<peers::ForwardedHeartbeat> sent;
     bool reachable = true;
-    std::vector<int> statuses;  // of the replies that workers got
+    std::vector<int> statuses;  // of the replies that workers received
     HeartbeatForwarder forwarder{
         "ramper-1", kForwarderIncarnation,
         [this](const std::string&, const peers::PeerFrame& frame) {
@@ -143,7 +143,7 @@
     EXPECT_FALSE(forward(1'000));
     forwarder.on_peer_status(leader_status(kTerm, 500), 1'000);
     forwarder.on_peer_status(leader_status(kTerm - 1, 900),
-                             1'100);  // a deposed leader that lingers
+                             1'100);  // a deposed leader that still sends
     ASSERT_TRUE(forward(1'300, kTerm));
     EXPECT_EQ(sent[0].term, kTerm);
     EXPECT_EQ(sent[0].leader_clock_ms, 500u);
@@ -151,7 +151,7 @@
     EXPECT_TRUE(sent[0].follows_reply);
     ASSERT_TRUE(forward(1'400, kTerm - 1));
     EXPECT_FALSE(sent[1].follows_reply) << "a reply of another term";
-    EXPECT_FALSE(forward(4'000)) << "the leader has not been heard for long";
+    EXPECT_FALSE(forward(4'000)) << "no status of the leader was received for too long";
     forwarder.on_peer_status(leader_status(kTerm, 5'000), 5'000);
     auto resigned = leader_status(0, 5'100);
     forwarder.on_peer_status(resigned, 5'100);
@@ -171,12 +171,12 @@
     forwarder.on_reply(reply_to(sent[0]), 1'200);
     forwarder.on_reply(reply_to(sent[0]), 1'300);
     EXPECT_EQ(statuses, std::vector<int>{200});
-    // A newer heartbeat of the same machine takes the place of the older.
+    // A newer heartbeat of the same machine replaces the older one.
     ASSERT_TRUE(forward(2'000));
     ASSERT_TRUE(forward(2'100));
     EXPECT_EQ(forwarder.pending(), 1u);
     EXPECT_EQ(statuses, (std::vector<int>{200, 503}));
-    // After a freeze the reply is read before any timer has run.
+    // After a freeze, the reply is read before any timer has run.
     forwarder.on_reply(reply_to(sent[2]), 9'000);
     EXPECT_EQ(statuses.size(), 2u);
     forwarder.expire(9'000);
@@ -210,7 +210,7 @@
     }
 };
 
-TEST_F(WorkerBalancerTest, PrefersTheZoneThenTheLoadAmongServingControllers) {
+TEST_F(WorkerBalancerTest, PrefersTheSameZoneThenALowLoadAmongAvailableControllers) {
     WorkerBalancer balancer(settings);
     balancer.set_own_load(300, 200, false, 0);
     EXPECT_EQ(balancer.better_controller(heartbeat_from("a"), kTerm, 1'000), "")
@@ -218,18 +218,18 @@
     balancer.on_peer_status(status("ramper-1", 200), 1'000);
     balancer.on_peer_status(status("ramper-2", 200), 1'000);
     EXPECT_EQ(balancer.better_controller(heartbeat_from("a"), kTerm, 1'000), "")
-        << "little is gained";
+        << "the gain is too small";
     EXPECT_EQ(balancer.better_controller(heartbeat_from("b"), kTerm, 1'000), "ramper-2");
     EXPECT_EQ(balancer.better_controller(heartbeat_from("b"), kTerm + 1, 1'000), "")
-        << "it serves another term";
+        << "the peer accepts heartbeats for another term";
     EXPECT_EQ(balancer.better_controller(heartbeat_from("b"), kTerm, 9'000), "")
-        << "it is not heard any more";
-    balancer.set_own_load(300, 200, true, 0);  // a leader's sockets count for more
+        << "the status of the peer has expired";
+    balancer.set_own_load(300, 200, true, 0);  // a leader's sockets weigh more
     EXPECT_EQ(balancer.better_controller(heartbeat_from("a"), kTerm, 1'500), "ramper-1");
     balancer.set_own_load(900, 500, false, 0);
     balancer.on_peer_status(status("ramper-1", 850), 2'000);
     EXPECT_EQ(balancer.better_controller(heartbeat_from("a"), kTerm, 2'000), "ramper-2")
-        << "elsewhere when it is full";
+        << "ramper-1 is full";
     auto unknown = status("ramper-9", 0);
     balancer.on_peer_status(unknown, 2'000);
     auto earlier_version = status("ramper-1", 0);
@@ -248,10 +248,10 @@
         redirected += better.empty() ? 0 : 1;
     }
     EXPECT_GT(redirected, 150);
-    EXPECT_LT(redirected, 250);  // a fiftieth of the sockets a second
+    EXPECT_LT(redirected, 250);  // 2% of the sockets per second
 }
 
-TEST_F(WorkerBalancerTest, AvoidsControllersThatWorkersComeBackFrom) {
+TEST_F(WorkerBalancerTest, AvoidsControllersFromWhichWorkersReturn) {
     WorkerBalancer balancer(settings);
     balancer.set_own_load(300, 200, false, 0);
     auto redirect = [&](const std::string& machine, Millis now) {
@@ -264,45 +264,46 @@
     };
     EXPECT_EQ(redirect("i-1", 1'000), "ramper-2");
     EXPECT_EQ(redirect("i-2", 2'000), "ramper-2");
-    balancer.on_worker_arrived("i-3", 5'000);  // was never redirected
+    balancer.on_worker_arrived("i-3", 5'000);  // i-3 was never redirected
     EXPECT_EQ(redirect("i-4", 5'000), "ramper-2");
     balancer.on_worker_arrived("i-2", 7'000);
-    EXPECT_EQ(redirect("i-5", 8'000), "") << "i-2 got no reply there";
+    EXPECT_EQ(redirect("i-5", 8'000), "") << "i-2 got no reply from ramper-2";
     EXPECT_EQ(redirect("i-5", 36'000), "");
-    EXPECT_EQ(redirect("i-5", 38'000), "ramper-2") << "it is tried again";
-    balancer.on_worker_arrived("i-1", 39'000);  // long after: it got replies there meanwhile
+    EXPECT_EQ(redirect("i-5", 38'000), "ramper-2") << "the avoidance time is over";
+    balancer.on_worker_arrived("i-1", 39'000);  // too late to show a failed redirect
     EXPECT_EQ(redirect("i-6", 39'000), "ramper-2");
 }
 
-TEST_F(WorkerBalancerTest, WorkerCapacityIsWhatUsersLeave) {
+TEST_F(WorkerBalancerTest, WorkerCapacityExcludesSocketsOfUsers) {
     WorkerBalancer balancer(settings);
     balancer.set_own_load(300, 200, false, 0);
     EXPECT_EQ(balancer.own_worker_capacity(),
-              620u);                            // the most, so that a burst of users finds sockets
-    balancer.set_own_load(700, 200, false, 0);  // 500 by users, of 760 that may be in use
+              620u);                            // the maximum, to keep sockets for bursts of users
+    balancer.set_own_load(700, 200, false, 0);  // users take 500 of the 760 planned
     EXPECT_EQ(balancer.own_worker_capacity(), 260u);
     balancer.set_own_load(790, 10, false, 0);
     EXPECT_EQ(balancer.own_worker_capacity(),
-              200u);  // the least, so that users do not starve workers
+              200u);  // the minimum, so that users do not starve workers
     EXPECT_TRUE(balancer.worker_capacity(1'000).sockets_exhausted)
-        << "nearly all connections are in use";
+        << "nearly all sockets are in use";
     EXPECT_FALSE(balancer.worker_capacity(70'000).sockets_exhausted);
     auto peer = status("ramper-1", 300);
     peer.worker_sockets = 200;
     balancer.on_peer_status(peer, 70'000);
     EXPECT_EQ(balancer.worker_capacity(71'000).max_machines, 200u + 620u);
-    EXPECT_EQ(balancer.worker_capacity(140'000).max_machines, 200u) << "it has ended";
+    EXPECT_EQ(balancer.worker_capacity(140'000).max_machines, 200u)
+        << "the peer is assumed to have stopped";
     peer.worker_sockets = 620;
     peer.sockets = 700;
     balancer.on_peer_status(peer, 150'000);
     balancer.set_own_load(980, 900, false, 150'000);
     EXPECT_EQ(balancer.better_controller(heartbeat_from("a"), kTerm, 150'000), "")
-        << "it has no capacity for workers";
+        << "the peer has no capacity for workers";
     auto earlier_version = status("ramper-2", 0);
     earlier_version.max_sockets = 0;
     balancer.on_peer_status(earlier_version, 150'000);
     EXPECT_EQ(balancer.worker_capacity(151'000).max_machines, SIZE_MAX)
-        << "its capacity is not known";
+        << "the capacity of ramper-2 is unknown";
 }
 
 }  // namespace
