--- a/src/relay/worker_balancer.h
+++ b/src/relay/worker_balancer.h
@@ -35,8 +35,9 @@
     void set_own_load(std::size_t sockets, std::size_t worker_sockets, bool leads, Millis now);
     /// Returns how many worker connections this controller can accept besides those of users.
     [[nodiscard]] std::size_t own_worker_capacity() const { return own_worker_capacity_; }
-    /// Records that a worker has connected to this controller. If the worker was redirected
-    /// recently, the controller that it was redirected to is avoided for a while.
+    /// Records that a worker has connected to this controller. If the worker was redirected to
+    /// another controller recently, it probably got no reply there. That controller is then avoided
+    /// for a while.
     void on_worker_arrived(const std::string& machine, Millis now);
     /// Returns the controller that the worker should send its heartbeats to instead, or an empty
     /// string if it should stay.
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -270,7 +270,7 @@
     EXPECT_EQ(redirect("i-5", 8'000), "") << "i-2 got no reply from ramper-2";
     EXPECT_EQ(redirect("i-5", 36'000), "");
     EXPECT_EQ(redirect("i-5", 38'000), "ramper-2") << "the avoidance time is over";
-    balancer.on_worker_arrived("i-1", 39'000);  // too late to show a failed redirect
+    balancer.on_worker_arrived("i-1", 39'000);  // too late: i-1 got replies from ramper-2 meanwhile
     EXPECT_EQ(redirect("i-6", 39'000), "ramper-2");
 }
 
