--- a/src/lease/lease_guard.h
+++ b/src/lease/lease_guard.h
@@ -1,10 +1,9 @@
 /// @file
-/// Leases that end: the arithmetic of their validity, and the proof that one was valid when
-/// something was sent.
+/// Lease validity, and proofs that a lease is valid when a message is sent.
 ///
 /// A function that needs a lease takes a LeaseProof as an argument. Only a LeaseGuard issues
-/// proofs, and the proof is checked again as the bytes go out, however long the message was queued
-/// before. Everything runs on the loop's thread.
+/// proofs. A proof is checked again when the bytes are sent, because the message may have been
+/// queued. Everything runs on the event loop's thread.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,30 +14,30 @@
 
 namespace nickelramp::lease {
 
-/// What a proof allows. Each purpose is a type of its own, so that no proof can be taken for
-/// another.
+/// What a proof permits. Each purpose is a separate type, so that proofs cannot be mixed up.
 /// @{
-struct Scheduling {};  ///< starts, checkpoints, shard grants, delegations: while the lease is valid
-struct Responding {};  ///< heartbeat replies, stops and probes: as long as machine leases may be
+struct Scheduling {};  ///< starts, checkpoints, shard grants and delegations, while the leader's
+                       ///< lease is valid
+struct Responding {};  ///< heartbeat replies, stops and probes, as long as machine leases may be
                        ///< renewed
 struct ScaleOut {};
 struct ScaleIn {};
 struct GarbageCollection {};
 /// @}
 
-/// Life of the leases that the leader key and the roles are attached to, in milliseconds.
+/// Duration of the leases that the leader key and the roles are attached to.
 inline constexpr Millis kLeaseDuration = 4'000;
-/// How often such a lease is renewed.
+/// Interval between renewals of such a lease.
 inline constexpr Millis kLeaseRenewInterval = 900;
 
-/// Until when a lease is certainly alive by this process's own clock: its duration counts from the
-/// moment at which the last answered renewal was *sent*, less what the clocks may drift.
+/// Tracks until when a lease is certainly valid by this process's own clock. The duration counts
+/// from the time at which the last acknowledged renewal was *sent*, less the maximum clock drift.
 class LeaseValidity {
   public:
     explicit LeaseValidity(Millis duration) : duration_(duration) {}
 
-    /// A renewal that was sent then has been answered. Replies may come in any order: the validity
-    /// never shrinks.
+    /// Records that a renewal sent at `sent_at` was acknowledged. Replies may arrive in any order;
+    /// the validity is never shortened.
     void extend(Millis sent_at) {
         const Millis until = sent_at + without_clock_drift(duration_);
         if (until > valid_until_) valid_until_ = until;
@@ -52,22 +51,22 @@
     Millis valid_until_ = -1;
 };
 
-/// A lease as it stands: under which fencing token, and until when by this process's steady clock.
+/// Current state of a lease.
 struct Lease {
-    std::uint64_t fence = 0;  ///< 0: there is none
-    Millis expires_at = 0;
+    std::uint64_t fence = 0;  ///< fencing token; 0: there is no lease
+    Millis expires_at = 0;    ///< by this process's steady clock
 };
 
 template <typename Purpose>
 class LeaseGuard;
 
-/// Proof that a lease was valid when it was asked for. Small and copyable; must not outlive the
+/// Proof that a lease was valid when the proof was issued. Small and copyable; must not outlive the
 /// guard that issued it.
 template <typename Purpose>
 class LeaseProof {
   public:
-    /// Asked at the act: is the lease that this proof was issued under still valid? A later lease
-    /// of the same kind does not count.
+    /// Returns whether the lease that this proof was issued under is still valid. A later lease
+    /// with another fence does not count. Called right before the protected operation.
     [[nodiscard]] bool is_valid() const { return guard_->is_valid(fence_); }
     [[nodiscard]] std::uint64_t fence() const { return fence_; }
 
@@ -81,24 +80,24 @@
     std::uint64_t fence_;
 };
 
-/// Issues proofs of one lease. Owned by whoever holds the lease.
+/// Issues proofs of one lease. Owned by the holder of the lease.
 template <typename Purpose>
 class LeaseGuard {
   public:
-    /// Clock and lease are read at each call: a process that stood still must not rely on what it
-    /// saw before.
+    /// `clock` and `lease` are called for every check, because values read before the process was
+    /// suspended may be stale.
     LeaseGuard(std::function<Millis()> clock, std::function<Lease()> lease)
         : clock_(std::move(clock)), lease_(std::move(lease)) {}
     LeaseGuard(const LeaseGuard&) = delete;
     LeaseGuard& operator=(const LeaseGuard&) = delete;
 
-    /// Nothing if there is no lease, or if it may have expired.
+    /// Returns a proof, or nothing if there is no lease or it may have expired.
     [[nodiscard]] std::optional<LeaseProof<Purpose>> prove() const {
         const Lease lease = lease_();
         if (lease.fence == 0 || clock_() >= lease.expires_at) return std::nullopt;
         return LeaseProof<Purpose>(this, lease.fence);
     }
-    /// Is the lease with this fence valid now?
+    /// Returns whether the lease with this fence is valid now.
     [[nodiscard]] bool is_valid(std::uint64_t fence) const {
         const Lease lease = lease_();
         return lease.fence == fence && clock_() < lease.expires_at;
--- a/src/lease/lease_store.h
+++ b/src/lease/lease_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// Leases as the key-value store grants them.
+/// Interface to the leases of the key-value store.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -8,17 +8,19 @@
 
 namespace nickelramp::lease {
 
-/// What the election and the roles ask of the store for their leases. `done` is called once, later,
-/// with the time at which the reply came; failures are in the reply's status.
+/// Lease operations that the election and the roles need. `done` is called exactly once, after the
+/// call has returned, with the time at which the reply arrived. The reply's status reports
+/// failures.
 class LeaseStore {
   public:
     using LeaseDone = std::function<void(Millis now, const kvstore::LeaseReply&)>;
 
     virtual ~LeaseStore() = default;
     virtual void grant_lease(Millis ttl, LeaseDone done) = 0;
-    /// kvstore::Status::missing: the lease has ended.
+    /// Replies with kvstore::Status::missing if the lease has ended.
     virtual void renew_lease(std::uint64_t lease_id, LeaseDone done) = 0;
-    /// The keys attached to the lease are deleted. May fail unnoticed: the lease then expires.
+    /// Ends the lease, which deletes the keys attached to it. Failures are not reported; the lease
+    /// then expires.
     virtual void revoke_lease(std::uint64_t lease_id) = 0;
 };
 
--- a/src/lease/role.h
+++ b/src/lease/role.h
@@ -3,9 +3,9 @@
 ///
 ///   duty/<name>  {holder, incarnation, hold}    attached to the holder's lease
 ///
-/// The version of the record is the role's fence: revisions only rise, every change of holder is a
-/// change of the record, and the record vanishes with the lease. Transactions made under a role are
-/// conditional on it.
+/// The version of the record is the role's fencing token. Revisions only increase, every change of
+/// holder writes the record, and the record is deleted with the lease. Transactions made under a
+/// role are conditional on this version.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,10 +16,10 @@
 namespace nickelramp::lease {
 
 enum class Role {
-    scale_out,          ///< asks the cloud for machines
+    scale_out,          ///< requests machines from the cloud
     scale_in,           ///< releases machines to the cloud
-    shard_reclaim,      ///< takes back shards whose holders are gone
-    garbage_collection  ///< finds and deletes records that nobody needs
+    shard_reclaim,      ///< reclaims shards whose holders are gone
+    garbage_collection  ///< finds and deletes records that are no longer needed
 };
 inline constexpr std::size_t kRoleCount = 4;
 inline constexpr Role kAllRoles[kRoleCount] = {Role::scale_out, Role::scale_in, Role::shard_reclaim,
@@ -30,18 +30,18 @@
 
 inline constexpr const char* kRoleKeyPrefix = "duty/";
 [[nodiscard]] std::string role_key(Role role);
-/// Nothing if it is no role's key.
+/// Returns the role with this key, or nothing if it is not the key of a role.
 [[nodiscard]] std::optional<Role> role_of_key(const std::string& key);
 
-/// Who holds a role.
+/// The holder of a role.
 struct RoleRecord {
     std::string holder;             ///< name of the controller
-    std::uint64_t incarnation = 0;  ///< of its process
-    std::uint64_t lease_id = 0;     ///< the record is attached to this lease
+    std::uint64_t incarnation = 0;  ///< of the controller's process
+    std::uint64_t lease_id = 0;     ///< lease that the record is attached to
     bool operator==(const RoleRecord&) const = default;
 };
 [[nodiscard]] wire::Json encode_role_record(const RoleRecord& record);
-/// Nothing if a field is missing or cannot be one of a holder.
+/// Returns nothing if a field is missing or invalid.
 [[nodiscard]] std::optional<RoleRecord> decode_role_record(const wire::Json& value);
 
 }  // namespace nickelramp::lease
