--- a/src/roles/delegated_requests.cpp
+++ b/src/roles/delegated_requests.cpp
@@ -5,7 +5,8 @@
 namespace nickelramp::roles {
 
 namespace {
-// A call to the cloud, its wait for the rate limit there, and the way to the helper and back.
+// Covers the cloud call, its wait for the rate limit at the helper, and the round trip to the
+// helper.
 constexpr Millis kResultTimeout = 8'000;
 }  // namespace
 
@@ -37,7 +38,7 @@
 }
 
 void DelegatedRequests::expire(Millis now) {
-    // Numbers rise with time, and so do deadlines.
+    // Later requests have higher numbers and later deadlines.
     while (!pending_.empty() && now >= pending_.begin()->second.deadline)
         complete(pending_.begin()->first, {cloud::ProvisionReply::Result::unknown, {}}, now);
 }
--- a/src/roles/delegated_requests.h
+++ b/src/roles/delegated_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// Cloud calls that the leader has delegated to another controller and that are not answered yet.
+/// Cloud calls that the leader has delegated to another controller and whose results are pending.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -11,20 +11,22 @@
 
 namespace nickelramp::roles {
 
-/// Matches results to requests; each request is answered exactly once: by its result, as
-/// `not_sent`, or as `unknown` when no result came in time. Owned by RoleManager; handed the time,
-/// sends nothing.
+/// Matches results to requests. Each request is completed exactly once: with its result, with
+/// `not_sent`, or with `unknown` if no result arrives in time. Owned by RoleManager. Sends nothing
+/// and reads no clock.
 class DelegatedRequests {
   public:
     using Done = std::function<void(Millis now, const cloud::ProvisionReply&)>;
 
-    /// Returns the number that the result will name.
+    /// Registers a request and returns its number, which the result repeats.
     [[nodiscard]] std::uint64_t add(Millis now, Done done);
-    /// Results of unknown requests, which may have expired, are dropped.
+    /// Completes the request that the result names. Results of unknown or expired requests are
+    /// dropped.
     void on_result(const peers::DelegatedResult& result, Millis now);
+    /// Completes a request that could not be sent.
     void on_not_sent(std::uint64_t number, Millis now);
-    /// Answers the requests whose results did not come in time as `unknown`: they may have been
-    /// executed.
+    /// Completes the requests whose results did not arrive in time with `unknown`, because they may
+    /// have been executed.
     void expire(Millis now);
 
   private:
@@ -34,7 +36,7 @@
     };
     void complete(std::uint64_t number, const cloud::ProvisionReply& reply, Millis now);
 
-    std::map<std::uint64_t, Pending> pending_;  // by number
+    std::map<std::uint64_t, Pending> pending_;  // by request number
     std::uint64_t last_number_ = 0;
 };
 
--- a/src/roles/garbage_collector.cpp
+++ b/src/roles/garbage_collector.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 constexpr std::size_t kPageSize = 100;
-constexpr Millis kPageInterval = 2'000;    // a page of runs and the open records beside it
-constexpr Millis kRoundInterval = 60'000;  // nothing is in a hurry
-constexpr Millis kRetry = 1'000;           // after a failure, or while others want the store
+constexpr Millis kPageInterval = 2'000;    // between pages of run records
+constexpr Millis kRoundInterval = 60'000;  // between rounds; garbage is not urgent
+constexpr Millis kRetry = 1'000;  // after a failure, or while the store has no spare budget
 constexpr std::uint32_t kPagesPerCursorWrite = 16;
 }  // namespace
 
-// Replies to requests that were made under another fence are dropped.
+// Wraps a reply handler so that replies to requests made under another fence are dropped.
 template <typename OnReply>
 auto GarbageCollector::if_current(OnReply on_reply) {
     return [this, fence = fence_, on_reply = std::move(on_reply)](Millis now, const auto& reply) {
@@ -30,7 +30,7 @@
     set_state(State::sleeping);
 }
 
-// The cursor is read again then.
+// Goes back to `inactive`; the cursor is read again at the given time.
 void GarbageCollector::restart_at(Millis at) {
     next_at_ = at;
     set_state(State::inactive);
@@ -91,7 +91,7 @@
     candidates_.clear();
     open_jobs_.clear();
     for (const kvstore::Entry& entry : reply.entries) {
-        // A key that is not one of a run is left alone.
+        // Keys that are not run keys are left alone.
         if (const auto run_key = jobs::parse_run_key(entry.key))
             candidates_.push_back({entry.key, run_key->job_id, entry.version});
     }
@@ -102,7 +102,7 @@
     const auto [first, last] = std::minmax_element(
         candidates_.begin(), candidates_.end(),
         [](const Candidate& one, const Candidate& other) { return one.job < other.job; });
-    // Lists begin after a key: one that is before the first job's.
+    // A list begins after a given key, so this key has to sort before the first job's key.
     open_scan_after_ = jobs::open_key(first->job);
     open_scan_after_.pop_back();
     open_scan_last_ = jobs::open_key(last->job);
@@ -120,7 +120,7 @@
 
 void GarbageCollector::on_open_jobs_read(const kvstore::ListReply& reply, Millis now) {
     if (reply.status != kvstore::Status::ok) {
-        // From the beginning: nothing of this page was deleted.
+        // Restart the round, because nothing of this page was deleted.
         last_key_.clear();
         return sleep_until(now + kRetry);
     }
@@ -161,9 +161,9 @@
                                           Millis now) {
     if (reply.status == kvstore::Status::ok) {
         deleted_records_ += count;
-        spdlog::info("garbage collection: deleted records of jobs that are over: count={}", count);
+        spdlog::info("garbage collection: deleted run records of ended jobs: count={}", count);
     } else if (reply.status != kvstore::Status::conflict) {
-        return sleep_until(now + kRetry);  // the next round finds them
+        return sleep_until(now + kRetry);  // the next round retries them
     }
     delete_orphans(now);
 }
@@ -198,7 +198,7 @@
     if (reply.status == kvstore::Status::ok) {
         cursor_version_ = reply.revision;
     } else if (reply.status != kvstore::Status::refused) {
-        // Applied after all, or another's: read it again.
+        // The write may have been applied, or the cursor was written by another controller.
         return restart_at(now + kRetry);
     }
     sleep_until(now + next_page_in);
--- a/src/roles/garbage_collector.h
+++ b/src/roles/garbage_collector.h
@@ -1,14 +1,15 @@
 /// @file
-/// The garbage collection role: a slow walk over the records of runs, a page at a time and only
-/// while the key-value store's budget is idle, that deletes those of jobs that are over. Such
-/// records are left behind where a leader ended between a job's last transaction and the deletion
-/// of what did not fit into it.
+/// The garbage collection role. It scans the run records slowly, one page at a time and only while
+/// the key-value store has spare budget, and deletes those of ended jobs. Such records remain if a
+/// leader stops after a job's last transaction and before deleting the records that did not fit
+/// into that transaction.
 ///
-///   clean/cursor  {after, rounds}   how far the walk is, for whoever holds the role next
+///   clean/cursor  {after, rounds}   progress of the scan, for the next holder of the role
 ///
-/// A record is deleted on condition of its version and of the role's fence. That its job is over
-/// was read after the record was: an open record never comes back once it is gone (its id stays
-/// taken), and runs are only written on condition of it.
+/// A deletion is conditional on the record's version and on the role's fence. The job's open record
+/// is looked up after the run record was read. This is safe because an open record is never created
+/// again once it is deleted (the job's id stays in use), and run records are only written on
+/// condition that the open record exists.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -25,7 +26,8 @@
 
 inline constexpr const char* kCursorKey = "clean/cursor";
 
-/// What garbage collection asks of the key-value store. `done` is called once, later.
+/// Key-value store operations that garbage collection needs. `done` is called exactly once, after
+/// the call has returned.
 class GarbageCollectionStore {
   public:
     using CommitDone = std::function<void(Millis now, const kvstore::CommitReply&)>;
@@ -33,29 +35,30 @@
     using Proof = lease::LeaseProof<lease::GarbageCollection>;
 
     virtual ~GarbageCollectionStore() = default;
-    /// One page of at most `limit` keys with the prefix, beginning after `after`.
+    /// Reads one page of at most `limit` keys with the prefix, beginning after the key `after`.
     virtual void list_page(const std::string& prefix, const std::string& after, std::size_t limit,
                            ListDone done) = 0;
-    /// Sent only while the proof is valid.
+    /// Commits the transaction. It is sent only while the proof is valid.
     virtual void commit_garbage_collection(const Proof& proof, kvstore::Transaction transaction,
                                            CommitDone done) = 0;
-    /// Nothing else wants the store.
+    /// Returns whether no other request waits for the store.
     [[nodiscard]] virtual bool has_spare_budget() const = 0;
 };
 
-/// Owned by RoleManager on the loop's thread; handed the time. What fails is tried again later, at
-/// the latest in the next round.
+/// Owned by RoleManager; runs on the event loop's thread and reads no clock. Failed requests are
+/// retried later, at the latest in the next round.
 class GarbageCollector {
   public:
     using Proof = GarbageCollectionStore::Proof;
 
-    /// `max_operations` is of one transaction: each deletion takes a write and a condition. `store`
-    /// must outlive the collector.
+    /// `max_operations` limits one transaction; each deletion takes a write and a condition.
+    /// `store` must outlive the collector.
     GarbageCollector(std::size_t max_operations, GarbageCollectionStore& store)
         : max_operations_(max_operations), store_(store) {}
 
-    /// Moves on if it is time to. Called at every turn with the proof of the role, or with none.
-    /// With another proof than before it begins where the cursor's record says.
+    /// Performs the next step if it is due. Called at every tick with the proof of the role, or
+    /// without one if this controller does not hold the role. If the fence has changed, the scan
+    /// resumes from the stored cursor.
     void run_due_work(const std::optional<Proof>& proof, Millis now);
 
     [[nodiscard]] std::uint64_t deleted_records() const { return deleted_records_; }
@@ -64,12 +67,12 @@
 
   private:
     enum class State {
-        inactive,           // no role, or the cursor has to be read
-        reading_cursor,     // how far the walk is
+        inactive,           // the role is not held, or the cursor has to be read
+        reading_cursor,     // reading the stored progress of the scan
         sleeping,           // until the next page, or the next round
-        reading_page,       // of runs
-        reading_open_jobs,  // the open records of the page's jobs
-        deleting,           // what belongs to none of them
+        reading_page,       // reading run records
+        reading_open_jobs,  // reading the open records of the page's jobs
+        deleting,           // deleting run records without an open job
         writing_cursor
     };
     struct Candidate {
@@ -101,13 +104,13 @@
     std::optional<Proof> proof_;
     Millis next_at_ = 0;
 
-    std::string last_key_;  // that was looked at; empty: the beginning
+    std::string last_key_;  // last key scanned; empty: the scan starts at the beginning
     std::uint64_t cursor_version_ = 0;
     std::uint32_t pages_since_cursor_write_ = 0;
     bool round_finished_ = false;
 
-    std::vector<Candidate> candidates_;  // runs of the page; then those without an open job
-    std::set<std::string> open_jobs_;    // jobs of the page that are not over
+    std::vector<Candidate> candidates_;  // run records of the page, later those without an open job
+    std::set<std::string> open_jobs_;    // ids of open jobs in the page's range
     std::string open_scan_after_;
     std::string open_scan_last_;
 
--- a/src/roles/helper_lease.cpp
+++ b/src/roles/helper_lease.cpp
@@ -12,9 +12,9 @@
 const char* name(HelperLease::EndReason reason) {
     switch (reason) {
         case HelperLease::EndReason::became_leader:
-            return "this controller leads";
+            return "this controller became the leader";
         case HelperLease::EndReason::not_needed:
-            return "no leader asks for help";
+            return "no leader requested help";
         case HelperLease::EndReason::expired:
             return "lease expired";
     }
@@ -60,7 +60,7 @@
 void HelperLease::on_granted(const kvstore::LeaseReply& reply, Millis requested_at, Millis now) {
     const bool granted = reply.status == kvstore::Status::ok;
     if (state_ != State::acquiring) {
-        // Given up meanwhile.
+        // The lease was given up in the meantime.
         if (granted) store_.revoke_lease(reply.lease_id);
         return;
     }
--- a/src/roles/helper_lease.h
+++ b/src/roles/helper_lease.h
@@ -1,5 +1,6 @@
 /// @file
-/// The lease of a controller that helps the leader: the roles assigned to it are attached to it.
+/// The lease of a helper, a controller to which the leader assigns roles. The records of these
+/// roles are attached to the lease.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -10,25 +11,26 @@
 
 namespace nickelramp::roles {
 
-/// Acquired when a leader asks for help, renewed while it does, and revoked when nobody has asked
-/// for long. Owned by RoleManager; runs on the loop's thread.
+/// Acquired when a leader requests help, renewed while requests continue, and revoked once they
+/// have stopped for some time. Owned by RoleManager; runs on the event loop's thread.
 class HelperLease {
   public:
     enum class EndReason { became_leader, not_needed, expired };
 
-    /// `on_lost` is called when a lease that was asked for or held is gone.
+    /// `on_lost` is called when a lease that was requested or held has ended.
     HelperLease(lease::LeaseStore& store, std::function<void()> on_lost);
 
-    /// A leader asks for help: the lease is acquired if need be, and kept at least until then.
+    /// Records that a leader requests help. The lease is acquired if necessary and kept at least
+    /// until `until`.
     void keep_until(Millis until) { keep_until_ = until; }
     /// Acquires, renews or revokes the lease, whichever is due.
     void run_due_work(Millis now);
-    /// Revokes the lease if it is held, and forgets it.
+    /// Revokes the lease if it is held, and ends its use.
     void give_up(EndReason reason);
 
-    /// 0: none is held.
+    /// Returns the id of the lease, or 0 if none is held.
     [[nodiscard]] std::uint64_t id() const { return lease_id_; }
-    /// As above, but 0 also if it may have expired.
+    /// Returns the id of the lease, or 0 if none is held or it may have expired.
     [[nodiscard]] std::uint64_t valid_id(Millis now) const {
         return validity_.valid(now) ? lease_id_ : 0;
     }
--- a/src/roles/peer_directory.cpp
+++ b/src/roles/peer_directory.cpp
@@ -10,7 +10,7 @@
                            state_service_answers, now};
 }
 
-const PeerDirectory::Peer* PeerDirectory::find_able(const std::string& name, Millis now) const {
+const PeerDirectory::Peer* PeerDirectory::find_eligible(const std::string& name, Millis now) const {
     const auto found = peers_.find(name);
     if (found == peers_.end()) return nullptr;
     const Peer& peer = found->second;
@@ -18,9 +18,9 @@
     return recent && peer.state_service_answers ? &peer : nullptr;
 }
 
-std::string PeerDirectory::first_able(Millis now) const {
+std::string PeerDirectory::first_eligible(Millis now) const {
     for (const auto& [name, peer] : peers_) {
-        if (find_able(name, now) != nullptr) return name;
+        if (find_eligible(name, now) != nullptr) return name;
     }
     return "";
 }
--- a/src/roles/role_assigner.cpp
+++ b/src/roles/role_assigner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr Millis kRetry = 500;
-constexpr Millis kReadInterval = 2'000;  // of records of roles that others hold
+constexpr Millis kReadInterval = 2'000;  // for records of roles that other controllers hold
 }  // namespace
 
 const char* name(RoleState state) {
@@ -50,7 +50,7 @@
 
 void RoleAssigner::run_due_work(Millis now) {
     if (!is_leading() || request_in_flight_) return;
-    // A holder elsewhere may be gone: the record says so, and only the record.
+    // Another controller that holds a role may be gone. Only the record shows it.
     const bool unread =
         std::any_of(std::begin(entries_), std::end(entries_), [now](const Entry& entry) {
             return (entry.state == RoleState::unknown ||
@@ -73,7 +73,7 @@
         [this, generation = generation_](Millis now, const kvstore::ListReply& reply) {
             if (generation != generation_) return;
             request_in_flight_ = false;
-            if (reply.status != kvstore::Status::ok) return;  // read again when it is due
+            if (reply.status != kvstore::Status::ok) return;  // retried at `read_at`
             for (lease::Role role : lease::kAllRoles) apply_records(role, reply, now);
             run_due_work(now);
         });
@@ -81,8 +81,8 @@
 
 void RoleAssigner::apply_records(lease::Role role, const kvstore::ListReply& reply, Millis now) {
     const Entry& known = entry(role);
-    // This leader's own transactions have replies of their own, and the list may be from before the
-    // last of them.
+    // The reply to this leader's own transaction decides, and the list may be older than its last
+    // transaction.
     if (known.state == RoleState::claiming || known.state == RoleState::transferring ||
         reply.revision < known.fence)
         return;
@@ -105,9 +105,9 @@
             on_record_read(role, *record, found.version);
         return;
     }
-    // Left alone: it vanishes with the lease that it is attached to, or an operator deletes it.
+    // The record is left alone. It is deleted with the lease it is attached to, or by an operator.
     if (found.version != known.unreadable_version)
-        spdlog::error("roles: record cannot be read: key={} version={}", found.key, found.version);
+        spdlog::error("roles: invalid role record: key={} version={}", found.key, found.version);
     known.unreadable_version = found.version;
     set_state(role, RoleState::unknown);
 }
@@ -117,7 +117,8 @@
     Entry& known = entry(role);
     known.record = record;
     known.fence = fence;
-    // What this process held under an earlier lease counts as another's: it ends with that lease.
+    // A role that this process held under an earlier lease counts as held elsewhere. It becomes
+    // vacant when that lease ends.
     set_state(role, record == own_record() ? RoleState::held_here : RoleState::held_elsewhere);
 }
 
@@ -149,13 +150,14 @@
             on_record_read(role, own_record(), reply.revision);
             continue;
         }
-        // It may have been applied after all: the record tells.
+        // The transaction may have been applied, so the record is read.
         entry(role).read_at = now + kRetry;
         set_state(role, RoleState::unknown);
     }
 }
 
-// One transaction: the record changes hands if it is as known and the term lasts.
+// Changes the holder in one transaction, on condition that the record is unchanged and the term has
+// not ended.
 void RoleAssigner::write_transfer(lease::Role role, const lease::RoleRecord& to) {
     const std::string key = lease::role_key(role);
     kvstore::Transaction transaction;
@@ -169,8 +171,8 @@
             on_record_read(role, to, reply.revision);
             return;
         }
-        // Whoever holds it now, or may hold it soon, is found in the record. A late transaction
-        // fails once the record has changed; until then the transfer is asked for again.
+        // The record shows the current holder. If the transaction is applied late, it fails once
+        // the record has changed; until then the transfer is requested again.
         entry(role).read_at = now + kRetry;
         set_state(role, RoleState::unknown);
     };
--- a/src/roles/role_assigner.h
+++ b/src/roles/role_assigner.h
@@ -1,9 +1,9 @@
 /// @file
-/// Who holds which role. The leader assigns the roles: to itself at first, to another controller
-/// where that is better, by one transaction that moves the record to the other's lease, so that
-/// there is no moment in which two hold it or, while both live, nobody does. A role that another
-/// controller holds outlives a change of leader; one whose holder's lease ends becomes vacant and
-/// is claimed by whoever leads.
+/// Assignment of roles to controllers. The leader first claims each role for itself and may then
+/// transfer it to another controller. One transaction moves the record to the other controller's
+/// lease, so that a role never has two holders, and is not vacant while both controllers are alive.
+/// A role held by another controller outlives a change of leader. When the holder's lease ends, the
+/// role becomes vacant and the current leader claims it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -16,40 +16,41 @@
 namespace nickelramp::roles {
 
 enum class RoleState {
-    unknown,        ///< its record has to be read
+    unknown,        ///< the record has to be read
     vacant,         ///< nobody holds it
-    claiming,       ///< this leader's transaction that claims it is under way
-    held_here,      ///< by this controller
-    transferring,   ///< the transaction that moves it is under way; nobody acts under it here
-    held_elsewhere  ///< by another controller
+    claiming,       ///< this leader's transaction that claims the role is in flight
+    held_here,      ///< this controller holds it
+    transferring,   ///< a transfer is in flight; this controller does not act under the role
+    held_elsewhere  ///< another controller holds it
 };
-/// The state's name on administration pages, which logs use, too.
+/// Returns the state's name, as used on administration pages and in logs.
 [[nodiscard]] const char* name(RoleState state);
 
-/// The records of roles in the key-value store. `done` is called once, later.
+/// Access to the role records in the key-value store. `done` is called exactly once, after the call
+/// has returned.
 class RoleRecordStore {
   public:
     using CommitDone = std::function<void(Millis now, const kvstore::CommitReply&)>;
     using ListDone = std::function<void(Millis now, const kvstore::ListReply&)>;
 
     virtual ~RoleRecordStore() = default;
-    /// Sent only while this controller certainly leads.
+    /// Commits the transaction. It is sent only while this controller is certainly the leader.
     virtual void commit(kvstore::Transaction transaction, CommitDone done) = 0;
-    /// All records of roles.
+    /// Lists all role records.
     virtual void list_roles(ListDone done) = 0;
 };
 
-/// Who has to know the fences of roles as this leader knows them.
+/// Is notified of the role fences that this leader knows.
 class FenceObserver {
   public:
     virtual ~FenceObserver() = default;
-    /// 0: nobody is known to hold the role. Called on every change of the role's state.
+    /// Called on every change of the role's state. `fence` is 0 if no holder is known.
     virtual void on_fence_changed(lease::Role role, std::uint64_t fence) = 0;
 };
 
-/// Both sides: the leader's, which assigns, and the helper's, which is told. Owned by RoleManager
-/// on the loop's thread; handed replies and the time, owns no sockets and reads no clock. Failed
-/// transactions are resolved by reading the record again.
+/// Implements both sides: the leader's, which assigns roles, and the helper's, which is assigned
+/// roles. Owned by RoleManager; runs on the event loop's thread, owns no sockets and reads no
+/// clock. After a failed transaction the record is read again.
 class RoleAssigner {
   public:
     /// `store` and `observer` must outlive the assigner.
@@ -57,53 +58,55 @@
                  FenceObserver& observer)
         : name_(std::move(name)), incarnation_(incarnation), store_(store), observer_(observer) {}
 
-    // --- the leader's side
+    // --- Calls on the leader
 
-    /// A term begins. `term` is the condition of its transactions; the roles that this controller
-    /// takes are attached to its `lease_id`.
+    /// Begins a term. `term` is the condition of its transactions. Records of roles that this
+    /// controller claims are attached to its lease `lease_id`.
     void start_leading(kvstore::Condition term, std::uint64_t lease_id, Millis now);
-    /// The term is over; what is attached to its lease vanishes with it.
+    /// Ends the term. Records attached to its lease are deleted with the lease.
     void stop_leading();
     [[nodiscard]] bool is_leading() const { return lease_id_ != 0; }
-    /// Reads the records that are not known, and claims vacant roles.
+    /// Reads records that are unknown or due to be read again, and claims vacant roles.
     void run_due_work(Millis now);
-    /// A transaction that was conditional on the role's fence failed for it: the record is read
-    /// again.
+    /// Handles the failure of a transaction because of the role's fence. The record is read again.
     void on_fence_rejected(lease::Role role);
     /// Moves a role that this controller holds to another controller's lease.
     void transfer(lease::Role role, const lease::RoleRecord& to);
-    /// Takes the role back from a holder whose assignments have expired.
+    /// Transfers the role back to this leader from a holder whose assignments have expired.
     void take_back(lease::Role role);
-    /// May its holder elsewhere be assigned the role? Not once it was to be taken back: a
-    /// transaction of unknown outcome may be applied later, and this leader would act beside the
-    /// holder.
+    /// Returns whether the role may be assigned to the other controller that holds it. It may not
+    /// once take_back() was called for the current fence. That transaction may still be applied
+    /// late, and then both this leader and the holder would act under the role.
     [[nodiscard]] bool may_assign(lease::Role role) const {
         return state(role) == RoleState::held_elsewhere &&
                entry(role).taken_back_fence != fence(role);
     }
 
-    // --- the helper's side: what the leader says that this controller holds
+    // --- Calls on a helper
 
+    /// Records that the leader assigned the role to this controller.
     void on_assigned(lease::Role role, std::uint64_t fence, std::uint64_t lease_id);
+    /// Records that the leader's assignment no longer contains the role.
     void on_unassigned(lease::Role role);
-    /// The helper's own lease is gone, and every role attached to it.
+    /// Handles the end of the helper lease, which ends every role attached to it.
     void on_lease_lost();
 
-    // --- both
+    // --- Calls on either
 
     [[nodiscard]] RoleState state(lease::Role role) const { return entry(role).state; }
-    /// As last known; valid while the state is held_here or held_elsewhere.
+    /// Returns the last known record; valid while the state is held_here or held_elsewhere.
     [[nodiscard]] const lease::RoleRecord& record(lease::Role role) const {
         return entry(role).record;
     }
     [[nodiscard]] std::uint64_t fence(lease::Role role) const { return entry(role).fence; }
-    /// The fence if somebody is known to hold the role, otherwise 0.
+    /// Returns the fence if the role is known to have a holder, otherwise 0.
     [[nodiscard]] std::uint64_t known_fence(lease::Role role) const {
         const RoleState known = state(role);
         const bool held = known == RoleState::held_here || known == RoleState::held_elsewhere;
         return held ? fence(role) : 0;
     }
-    /// The fence if this controller may act under the role, as far as its record goes; otherwise 0.
+    /// Returns the fence if this controller holds the role according to its record, otherwise 0.
+    /// The validity of the lease is not checked.
     [[nodiscard]] std::uint64_t acting_fence(lease::Role role) const {
         return state(role) == RoleState::held_here ? fence(role) : 0;
     }
@@ -113,9 +116,9 @@
         RoleState state = RoleState::unknown;
         lease::RoleRecord record;
         std::uint64_t fence = 0;
-        std::uint64_t taken_back_fence = 0;    // to be taken back from that fence, in this term
-        Millis read_at = 0;                    // its record is read then, if need be
-        std::uint64_t unreadable_version = 0;  // at which it was logged that it cannot be read
+        std::uint64_t taken_back_fence = 0;    // fence at which take_back() was called in this term
+        Millis read_at = 0;                    // earliest time at which the record is read again
+        std::uint64_t unreadable_version = 0;  // last version that was logged as invalid
     };
     Entry& entry(lease::Role role) { return entries_[static_cast<std::size_t>(role)]; }
     const Entry& entry(lease::Role role) const { return entries_[static_cast<std::size_t>(role)]; }
@@ -136,8 +139,8 @@
     FenceObserver& observer_;
     kvstore::Condition term_;
     std::uint64_t lease_id_ = 0;      // 0: this controller does not lead
-    std::uint64_t generation_ = 0;    // replies to an earlier term are dropped
-    bool request_in_flight_ = false;  // a read of the records, or a claim
+    std::uint64_t generation_ = 0;    // replies to requests of earlier generations are dropped
+    bool request_in_flight_ = false;  // a read of the records or a claim
     Entry entries_[lease::kRoleCount];
 };
 
--- a/src/roles/role_manager.cpp
+++ b/src/roles/role_manager.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr Millis kAssignmentDuration = 4'000;  // by the helper's clock
-// So long after the last assignment the helper gives its lease up.
+// Time after the last assignment at which the helper gives up its lease.
 constexpr Millis kHelperLeaseIdle = 30'000;
 
 std::size_t index_of(lease::Role role) { return static_cast<std::size_t>(role); }
@@ -55,11 +55,11 @@
     return page;
 }
 
-// --- the leader's side
+// --- Calls on the leader
 
 void RoleManager::start_leading(std::uint64_t term, kvstore::Condition condition,
                                 std::uint64_t lease_id, Millis now) {
-    // What was attached to the helper lease becomes vacant.
+    // Roles attached to the helper lease become vacant.
     helper_lease_.give_up(HelperLease::EndReason::became_leader);
     term_ = term;
     leading_since_ = now;
@@ -73,22 +73,23 @@
     term_ = 0;
 }
 
-// One at a time, and no change without need; whoever holds a role already is the first choice.
+// There is one helper at a time, and it is kept while it is eligible. Controllers that already hold
+// a role are preferred.
 void RoleManager::choose_helper(Millis now) {
-    if (peers_.find_able(helper_, now) != nullptr) return;
+    if (peers_.find_eligible(helper_, now) != nullptr) return;
     helper_.clear();
     for (lease::Role role : lease::kAllRoles) {
         if (assigner_.state(role) != RoleState::held_elsewhere) continue;
         const std::string& holder = assigner_.record(role).holder;
-        if (peers_.find_able(holder, now) != nullptr) helper_ = holder;
+        if (peers_.find_eligible(holder, now) != nullptr) helper_ = holder;
     }
-    if (helper_.empty()) helper_ = peers_.first_able(now);
+    if (helper_.empty()) helper_ = peers_.first_eligible(now);
     if (!helper_.empty()) spdlog::info("roles: helper={}", helper_);
 }
 
-// Garbage collection needs nothing of the leader's memory. The cloud is called by a helper while
-// the leader itself gets no reply: the helper's way there is another, or nothing is lost by trying.
-// What reclaims shards is the leader's own cluster state.
+// Garbage collection needs none of the leader's in-memory state. The cloud roles move to a helper
+// while the leader gets no reply from the cloud, because the helper may have a working network path
+// to it. Shards are reclaimed by the leader, because this needs its cluster state.
 bool RoleManager::better_held_by_helper(lease::Role role, Millis now) const {
     if (role == lease::Role::garbage_collection) return true;
     if (role == lease::Role::shard_reclaim) return false;
@@ -101,22 +102,23 @@
 
 void RoleManager::assign_roles(Millis now) {
     choose_helper(now);
-    const PeerDirectory::Peer* helper = peers_.find_able(helper_, now);
+    const PeerDirectory::Peer* helper = peers_.find_eligible(helper_, now);
     for (lease::Role role : lease::kAllRoles) assign_role(role, helper, now);
 }
 
 void RoleManager::assign_role(lease::Role role, const PeerDirectory::Peer* helper, Millis now) {
-    const bool wanted_there = better_held_by_helper(role, now) && helper != nullptr;
+    const bool helper_preferred = better_held_by_helper(role, now) && helper != nullptr;
     Millis& sent_at = assignment_sent_at_[index_of(role)];
-    if (assigner_.state(role) == RoleState::held_here && wanted_there && helper->lease_id != 0) {
+    if (assigner_.state(role) == RoleState::held_here && helper_preferred &&
+        helper->lease_id != 0) {
         sent_at = now;
         assigner_.transfer(role, helper_record(*helper));
     } else if (assigner_.state(role) == RoleState::held_elsewhere) {
         const bool holder_is_helper =
             helper != nullptr && assigner_.record(role) == helper_record(*helper);
-        const bool keep = wanted_there && holder_is_helper && assigner_.may_assign(role);
-        // Assignments expire by themselves, this leader's and those of the leaders before it: then
-        // nobody acts under the role, whether its holder can be asked or not.
+        const bool keep = helper_preferred && holder_is_helper && assigner_.may_assign(role);
+        // After this time all assignments of this leader and of earlier leaders have expired, so
+        // that nobody acts under the role even if its holder is unreachable.
         const Millis all_expired_at =
             with_clock_drift(kAssignmentDuration) + std::max(sent_at, leading_since_);
         if (!keep && now > all_expired_at) assigner_.take_back(role);
@@ -125,7 +127,7 @@
 
 void RoleManager::send_assignment(Millis now) {
     if (!assigner_.is_leading()) return;
-    const PeerDirectory::Peer* helper = peers_.find_able(helper_, now);
+    const PeerDirectory::Peer* helper = peers_.find_eligible(helper_, now);
     if (helper == nullptr) return;
     peers::RoleAssignment assignment;
     assignment.from = name_;
@@ -191,13 +193,14 @@
         [this, sequence](Millis now) { delegated_requests_.on_not_sent(sequence, now); });
 }
 
-// --- the helper's side
+// --- Calls on a helper
 
 void RoleManager::fill_status(peers::Status& status, Millis now) const {
     status.lease_id = helper_lease_.valid_id(now);
 }
 
-// The assignment's lease runs from when this controller sent the status that it answers.
+// The assignment's duration counts from the time at which this controller sent the status that the
+// assignment answers.
 void RoleManager::on_assignment(const peers::RoleAssignment& assignment, Millis now) {
     const Millis status_sent_at = static_cast<Millis>(assignment.status_clock_ms);
     if (assigner_.is_leading() || assignment.incarnation != incarnation_ ||
@@ -206,7 +209,7 @@
     }
     const Millis valid_until =
         status_sent_at + without_clock_drift(static_cast<Millis>(assignment.lease_ms));
-    if (valid_until <= now) return;  // delayed on its way
+    if (valid_until <= now) return;  // expired in transit
     assigning_term_ = assignment.term;
     helper_lease_.keep_until(now + kHelperLeaseIdle);
     for (lease::Role role : lease::kAllRoles) assign_from(assignment, role, valid_until);
@@ -241,7 +244,7 @@
     answer(0, not_sent_reply());
 }
 
-// False if the request is none for machines, or if this controller may not execute it.
+// Returns false if the request does not ask for machines, or if this controller may not execute it.
 bool RoleManager::execute_provision(const peers::DelegatedRequest& request,
                                     const ProvisionDone& done) {
     if (request.role != index_of(lease::Role::scale_out)) return false;
@@ -264,7 +267,7 @@
     return true;
 }
 
-// --- both
+// --- Calls on either
 
 void RoleManager::run_due_work(Millis now) {
     for (const auto& answer : std::exchange(deferred_, {})) answer(now);
--- a/src/roles/role_manager.h
+++ b/src/roles/role_manager.h
@@ -1,9 +1,9 @@
 /// @file
-/// One controller's part in the roles: which of them it holds, and its acts under them.
+/// Manages the roles that one controller holds, and the operations that it performs under them.
 ///
-/// As leader it assigns them, to itself at first. Garbage collection goes to a helper, and so do
-/// the calls to the cloud while only the helper can reach it. As helper it acts under what the
-/// leader assigned to it, each assignment a lease by its own clock.
+/// The leader first holds all roles itself. It transfers garbage collection to a helper, and also
+/// the cloud roles while it cannot reach the cloud itself. A helper acts under the roles that the
+/// leader assigned to it. Each assignment expires by the helper's own clock.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -23,46 +23,48 @@
 
 namespace nickelramp::roles {
 
-/// Owned by the controller; every call is made on the loop's thread with its time. The clock is
-/// read at acts only. Guarantees that this controller acts under a role only while lease_for() says
-/// so, and that nobody else does meanwhile.
+/// Owned by the controller; every call is made on the event loop's thread with the loop's time. The
+/// steady clock is read only to check leases. Guarantees that this controller acts under a role
+/// only while the lease returned by lease_for() is valid, and that no other controller does so at
+/// the same time.
 class RoleManager {
   public:
     using ProvisionDone = RoleCloud::ProvisionDone;
 
-    /// `max_operations` is of one transaction. Replies that come after the manager is destroyed
+    /// `max_operations` limits one transaction. Replies that arrive after the manager is destroyed
     /// must not be delivered to it.
     RoleManager(std::string name, std::uint64_t incarnation, std::size_t max_operations,
                 RoleServices services);
 
-    // --- the leader's side
+    // --- Calls on the leader
 
-    /// The term begins. `condition` is that of its transactions, `lease_id` the leader's lease.
+    /// Begins a term. `condition` is the condition of its transactions, `lease_id` the leader's
+    /// lease.
     void start_leading(std::uint64_t term, kvstore::Condition condition, std::uint64_t lease_id,
                        Millis now);
     void stop_leading();
-    /// A transaction that was conditional on the role's fence failed for it.
+    /// Handles the failure of a transaction because of the role's fence.
     void on_fence_rejected(lease::Role role) { assigner_.on_fence_rejected(role); }
-    /// Sends the helper its assignment; called every second.
+    /// Sends the helper its assignment. Called every second.
     void send_assignment(Millis now);
-    /// Asks for machines, as the cluster's autoscaler wants it: directly, or through whoever holds
-    /// the role. `done` is called once and never from within the call. `not_sent`: nobody may send
-    /// it now.
+    /// Requests machines from the cloud, directly or through the controller that holds the role.
+    /// `done` is called exactly once and never from within the call. The result is `not_sent` if no
+    /// controller may send the request now.
     void provision(const cloud::ProvisioningIntent& intent, ProvisionDone done, Millis now);
-    /// Releases machines, likewise.
+    /// Releases machines to the cloud in the same way.
     void release(const std::vector<std::string>& machines, ProvisionDone done, Millis now);
     void on_delegated_result(const peers::DelegatedResult& result, Millis now) {
         delegated_requests_.on_result(result, now);
     }
 
-    // --- the helper's side
+    // --- Calls on a helper
 
-    /// Tells the leader this helper's lease.
+    /// Adds the helper lease to the status message.
     void fill_status(peers::Status& status, Millis now) const;
     void on_assignment(const peers::RoleAssignment& assignment, Millis now);
     void on_delegated_request(const peers::DelegatedRequest& request);
 
-    // --- both
+    // --- Calls on either
 
     void on_status(const peers::Status& status, Millis now) { peers_.on_status(status, now); }
     /// Called at every tick.
@@ -70,9 +72,9 @@
 
     [[nodiscard]] const RoleAssigner& assigner() const { return assigner_; }
     [[nodiscard]] const GarbageCollector& garbage_collector() const { return garbage_collector_; }
-    /// For the administration page.
+    /// Returns the content of the administration page.
     [[nodiscard]] wire::Json overview() const;
-    /// Until when this controller may act under the role, and by which fence.
+    /// Returns the fence under which this controller may act in the role, and until when.
     [[nodiscard]] lease::Lease lease_for(lease::Role role) const;
 
   private:
@@ -98,19 +100,20 @@
     lease::LeaseGuard<lease::ScaleOut> scale_out_guard_;
     lease::LeaseGuard<lease::ScaleIn> scale_in_guard_;
     lease::LeaseGuard<lease::GarbageCollection> garbage_collection_guard_;
-    std::vector<std::function<void(Millis now)>> deferred_;  // answers given at the next turn
+    std::vector<std::function<void(Millis now)>> deferred_;  // replies delivered at the next tick
 
-    // As leader.
+    // Used on the leader.
     std::uint64_t term_ = 0;
     Millis leading_since_ = 0;
-    std::string helper_;  // empty: none
-    // When this leader last sent an assignment with the role.
+    std::string helper_;  // name of the helper; empty: none
+    // Time at which this leader last sent an assignment with the role.
     Millis assignment_sent_at_[lease::kRoleCount] = {};
 
-    // As helper.
+    // Used on a helper.
     HelperLease helper_lease_;
     Millis assigned_until_[lease::kRoleCount] = {};
-    std::uint64_t assigning_term_ = 0;  // of the last assignment; earlier ones are ignored
+    std::uint64_t assigning_term_ =
+        0;  // of the last assignment; assignments of earlier terms are ignored
 };
 
 }  // namespace nickelramp::roles
--- a/src/roles/role_services.h
+++ b/src/roles/role_services.h
@@ -1,8 +1,9 @@
 /// @file
-/// What RoleManager needs of others: the key-value store, the other controllers, the cloud, and the
-/// election's outcome. The controller implements these (controller/role_services.h).
+/// Interfaces that RoleManager depends on: the key-value store, the other controllers, the cloud
+/// and the outcome of the election. The controller implements them (controller/role_services.h).
 ///
-/// Every `done` is called once, later, on the loop's thread, with the time at which the reply came.
+/// Every `done` is called exactly once, after the call has returned, on the event loop's thread and
+/// with the time at which the reply arrived.
 #pragma once
 #include <functional>
 #include <string>
@@ -18,7 +19,7 @@
 
 namespace nickelramp::roles {
 
-/// All that the roles ask of the key-value store.
+/// All key-value store operations that the roles need.
 class RoleStateStore : public RoleRecordStore,
                        public GarbageCollectionStore,
                        public lease::LeaseStore {};
@@ -27,17 +28,18 @@
 class RolePeerChannel {
   public:
     virtual ~RolePeerChannel() = default;
-    /// Sent only while this controller certainly leads. May be lost.
+    /// Sent only while this controller is certainly the leader. The message may be lost.
     virtual void send_assignment(const std::string& peer, const peers::RoleAssignment&) = 0;
-    /// As above; false: it was not sent, and no result will come.
+    /// Sent only while this controller is certainly the leader; may be lost. Returns false if the
+    /// request was not sent, so that there will be no result.
     [[nodiscard]] virtual bool send_request(const std::string& peer,
                                             const peers::DelegatedRequest&) = 0;
-    /// May be lost: the leader's request then expires.
+    /// The message may be lost. The leader's request then expires.
     virtual void send_result(const std::string& peer, const peers::DelegatedResult&) = 0;
 };
 
-/// The cloud. A call is sent only while its proof is valid, also after it was queued; otherwise its
-/// result is `not_sent`.
+/// Calls to the cloud. A call is sent only if its proof is still valid at that time, even if it was
+/// queued before; otherwise its result is `not_sent`.
 class RoleCloud {
   public:
     using ProvisionDone = std::function<void(Millis now, const cloud::ProvisionReply&)>;
@@ -47,20 +49,21 @@
                            const cloud::ProvisioningIntent& intent, ProvisionDone done) = 0;
     virtual void release(const lease::LeaseProof<lease::ScaleIn>& proof,
                          const std::vector<std::string>& machines, ProvisionDone done) = 0;
-    /// Calls went out, and none has been answered for long.
+    /// Returns whether calls were sent but none has been answered for some time.
     [[nodiscard]] virtual bool is_unreachable(Millis now) const = 0;
 };
 
-/// This controller's leadership.
+/// Leadership state of this controller.
 class Leadership : public FenceObserver {
   public:
-    /// The steady clock, read at each call.
+    /// Reads the steady clock.
     [[nodiscard]] virtual Millis clock() const = 0;
-    /// Under which it may decide as leader; the fence is the term. None if it does not lead.
+    /// Returns the lease under which this controller may act as leader; its fence is the term. The
+    /// fence is 0 if this controller does not lead.
     [[nodiscard]] virtual lease::Lease leader_lease() const = 0;
 };
 
-/// What a RoleManager is given; all of it must outlive the manager.
+/// Dependencies of a RoleManager, all of which must outlive the manager.
 struct RoleServices {
     RoleStateStore& store;
     RolePeerChannel& peers;
--- a/tests/role_parts_test.cpp
+++ b/tests/role_parts_test.cpp
@@ -87,12 +87,12 @@
     peers::Status unserved;
     unserved.from = "a";
     unserved.state_age_ms = 60'000;
-    EXPECT_EQ(directory.first_able(1'000), "");
+    EXPECT_EQ(directory.first_eligible(1'000), "");
     directory.on_status(served, 1'000);
     directory.on_status(unserved, 1'000);
-    EXPECT_EQ(directory.first_able(1'000), "b");
-    EXPECT_EQ(directory.find_able("a", 1'000), nullptr);
-    EXPECT_EQ(directory.find_able("b", 60'000), nullptr);
+    EXPECT_EQ(directory.first_eligible(1'000), "b");
+    EXPECT_EQ(directory.find_eligible("a", 1'000), nullptr);
+    EXPECT_EQ(directory.find_eligible("b", 60'000), nullptr);
 }
 
 TEST(DelegatedRequests, EachIsAnsweredOnce) {
