--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -72,7 +72,7 @@
     if (next < kNever) request_wake_up_(next);
 }
 
-// --- who leads
+// --- Reading the current leader
 
 void Election::read_leader() {
     store_.list(kPrefix, [this](Millis now, const kvstore::ListReply& reply) {
@@ -101,7 +101,7 @@
                 watch_leader();
                 return;
             }
-            // A revision that is too old is read again at once.
+            // If the watch revision is too old, the leader is read again at once.
             const bool expired = reply.status == kvstore::Status::lease_or_revision_expired;
             schedule_at(read_leader_at_, now + (expired ? 0 : kRetry));
         });
@@ -129,12 +129,12 @@
         return;
     }
     if (state_ == ElectionState::following && version == 0) {
-        // Candidates that begin at different moments rarely conflict.
+        // Candidates that start at different times rarely conflict.
         schedule_at(campaign_at_, now + static_cast<Millis>(random_() % kMaxJitter));
     }
 }
 
-// --- the campaign: term, lease, claim
+// --- Campaign: read the term, acquire a lease, claim the leader key
 
 void Election::campaign(Millis now) {
     if (state_ != ElectionState::following || !leader_key_known_ || leader_key_version_ != 0)
@@ -197,8 +197,9 @@
     });
 }
 
-// Also when the outcome is unknown: nobody can lead without the version of the term. The lease is
-// revoked, so that a leader key that was written after all vanishes.
+// Also called if the outcome is unknown, because leading requires the version of the term key,
+// which only a successful reply contains. Revoking the lease deletes the leader key if the
+// transaction was applied.
 void Election::on_claim_failed(Millis now) {
     store_.revoke_lease(lease_id_);
     lease_id_ = 0;
@@ -218,7 +219,7 @@
     observer_.on_lease_confirmed(lease_validity_.valid_until());
 }
 
-// --- the leader's lease
+// --- Leader lease
 
 void Election::renew_lease(Millis now) {
     if (!is_leader()) return;
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -1,12 +1,12 @@
 /// @file
-/// Leader election. One key is attached to a lease of the leader; another, permanent, numbers the
-/// terms:
+/// Leader election with two keys in the key-value store. One is attached to the leader's lease, the
+/// other is permanent and numbers the terms:
 ///
-///   lead/seat   {node}         attached to the leader's lease; exists while somebody leads
+///   lead/seat   {node}         attached to the leader's lease; exists while there is a leader
 ///   lead/term   {term, node}   its version is the condition of every transaction of that term
 ///
-/// Election decides only: it takes replies and the time as arguments, owns no sockets and reads no
-/// clock. ElectionDriver (election/election_driver.h) runs it on libuv.
+/// Election contains only the decisions. It receives replies and the time as arguments, owns no
+/// sockets and reads no clock. ElectionDriver (election/election_driver.h) runs it on libuv.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -24,18 +24,19 @@
 inline constexpr const char* kTermKey = "lead/term";
 
 enum class ElectionState {
-    following,            ///< somebody else leads, or nobody as far as is known
-    reading_term,         ///< nobody leads; the term's number is being read
-    acquiring_lease,      ///< a lease has been asked for
-    claiming_leadership,  ///< the transaction that writes the leader key is under way
-    leading,              ///< the lease is certainly alive, by this controller's steady clock
-    lease_uncertain       ///< the lease may have expired; nothing is decided until it is renewed
+    following,            ///< another controller leads, or no leader is known
+    reading_term,         ///< there is no leader; the term's number is being read
+    acquiring_lease,      ///< a lease has been requested
+    claiming_leadership,  ///< the transaction that writes the leader key is in flight
+    leading,              ///< the lease is certainly valid, by this controller's steady clock
+    lease_uncertain       ///< the lease may have expired; no decisions are made until it is renewed
 };
-/// The state's name on administration pages, which logs use, too.
+/// Returns the state's name, as used on administration pages and in logs.
 [[nodiscard]] const char* name(ElectionState state);
 
-/// What the election asks of the key-value store. Every `done` is called once, later, with the time
-/// at which the reply came; failures are in the reply's status.
+/// Key-value store operations that the election needs. Every `done` is called exactly once, after
+/// the call has returned, with the time at which the reply arrived. The reply's status reports
+/// failures.
 class ElectionStore : public lease::LeaseStore {
   public:
     using ListDone = std::function<void(Millis now, const kvstore::ListReply&)>;
@@ -43,54 +44,58 @@
     using CommitDone = std::function<void(Millis now, const kvstore::CommitReply&)>;
 
     virtual void list(const std::string& prefix, ListDone done) = 0;
-    /// One long poll for changes after the revision, of at most `wait` milliseconds.
+    /// Sends one long poll for changes after the revision `after`, which waits at most `wait`.
     virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait,
                        ListDone done) = 0;
     virtual void get(const std::string& key, GetDone done) = 0;
     virtual void commit(const kvstore::Transaction& transaction, CommitDone done) = 0;
 };
 
-/// Who wants to know how the election goes: the controller. Called from within Election's calls and
-/// replies to it; must not destroy the election.
+/// Receives the events of an election; implemented by the controller. The functions are called from
+/// within Election's calls and reply handlers and must not destroy the election.
 class ElectionObserver {
   public:
     virtual ~ElectionObserver() = default;
-    /// This controller leads. `version` is that of kTermKey, the condition of its transactions.
+    /// This controller was elected. `version` is the version of kTermKey, which its transactions
+    /// are conditional on.
     virtual void on_elected(std::uint64_t term, std::uint64_t version) = 0;
-    /// The leader's lease certainly lasts until then, by its steady clock.
+    /// The leader's lease is certainly valid until then, by its steady clock.
     virtual void on_lease_confirmed(Millis valid_until) = 0;
-    /// This controller led, and does no more. The reason is logged.
+    /// This controller is no longer the leader. The reason is logged.
     virtual void on_deposed() = 0;
-    /// Another controller leads, as far as is known; empty: nobody does.
+    /// The known leader has changed; empty: there is none.
     virtual void on_leader_changed(const std::string& leader) = 0;
 };
 
-/// One controller's part in the election. It guarantees that `leading` is only ever the state of
-/// the controller whose lease holds kLeaderKey. Failed requests are repeated until they succeed.
+/// One controller's participation in the election. Guarantees that only the controller whose lease
+/// kLeaderKey is attached to is in the state `leading`. Failed requests are retried until they
+/// succeed.
 class Election {
   public:
-    /// Asks for a call of run_due_work() at that time, not later.
+    /// Requests a call of run_due_work() no later than at that time.
     using RequestWakeUp = std::function<void(Millis at)>;
 
-    /// `store` and `observer` must outlive the election. `name` is the controller's; `seed` is of
-    /// the jitter between candidates.
+    /// `store` and `observer` must outlive the election. `name` is the controller's name. `seed`
+    /// initializes the random delay between candidates.
     Election(ElectionStore& store, ElectionObserver& observer, std::string name, std::uint64_t seed,
              RequestWakeUp request_wake_up);
 
     void start();
-    /// Does what is due: campaigns, renews the lease, checks its validity, reads the leader again.
+    /// Performs the work that is due: campaigns, renews the lease, checks its validity or reads the
+    /// leader again.
     void run_due_work(Millis now);
-    /// Gives leadership up, and does not campaign again for `backoff` milliseconds. Does nothing
-    /// unless this controller leads.
+    /// Gives up leadership and does not campaign again for `backoff`. Does nothing unless this
+    /// controller leads.
     void step_down(const std::string& reason, Millis backoff, Millis now);
 
     [[nodiscard]] ElectionState state() const { return state_; }
-    /// Who leads, as last read; may be stale. Empty: nobody.
+    /// Returns the leader as last read, which may be stale. Empty: there is none.
     [[nodiscard]] const std::string& leader() const { return leader_; }
-    /// This controller's lease, to which its roles are attached; 0: none.
+    /// Returns the leader's lease, to which its roles are attached; 0: none.
     [[nodiscard]] std::uint64_t lease_id() const { return lease_id_; }
-    /// Until when it may decide, by its steady clock; 0: it does not lead. Whoever acts asks this:
-    /// the timer that changes the state comes late after the process stood still.
+    /// Returns until when this controller may act as leader, by its steady clock; 0: it does not
+    /// lead. Callers check this before they act, because the timer that changes the state is late
+    /// if the process was suspended.
     [[nodiscard]] Millis lease_valid_until() const {
         return lease_id_ == 0 ? 0 : lease_validity_.valid_until();
     }
@@ -127,7 +132,7 @@
     std::string leader_;
     bool leader_key_known_ = false;
     std::uint64_t leader_key_version_ = 0;  // 0: the key does not exist
-    std::uint64_t watch_revision_ = 0;      // where the watch goes on
+    std::uint64_t watch_revision_ = 0;      // revision at which the watch continues
 
     std::uint64_t term_ = 0;
     std::uint64_t term_version_ = 0;
@@ -136,7 +141,7 @@
     lease::LeaseValidity lease_validity_;
     Millis backoff_until_ = 0;
 
-    // When each is due; kNever: it is not.
+    // Times at which the work is due; kNever: it is not scheduled.
     Millis campaign_at_ = kNever;
     Millis renew_at_ = kNever;
     Millis check_validity_at_ = kNever;
--- a/src/election/election_driver.h
+++ b/src/election/election_driver.h
@@ -1,6 +1,6 @@
 /// @file
-/// Runs an election on libuv: its requests go to the key-value store's client, its wake-ups to a
-/// timer.
+/// Runs an election on libuv. Sends its requests through the key-value store's client and schedules
+/// its wake-ups with a timer.
 #pragma once
 #include <uv.h>
 
@@ -13,7 +13,7 @@
 
 namespace nickelramp::election {
 
-/// Owned by the controller; runs on its loop's thread. See Election for what it guarantees.
+/// Owned by the controller; runs on the event loop's thread. See Election for its guarantees.
 class ElectionDriver : private ElectionStore {
   public:
     /// `client` and `observer` must outlive the driver.
@@ -21,7 +21,7 @@
                    ElectionObserver& observer);
 
     void start() { election_.start(); }
-    /// Gives leadership up, and does not campaign again for `backoff` milliseconds.
+    /// Gives up leadership and does not campaign again for `backoff`.
     void step_down(const std::string& reason, Millis backoff) {
         election_.step_down(reason, backoff, now());
     }
