--- a/src/kvstore/client.cpp
+++ b/src/kvstore/client.cpp
@@ -11,8 +11,8 @@
 namespace {
 constexpr std::size_t kLeaseConnections = 2;
 constexpr std::size_t kWatchConnections = 4;
-constexpr std::size_t kMaxDirectQueue = 16;  // of leases and of watches
-constexpr Millis kListTimeout = 4000;        // of a page
+constexpr std::size_t kMaxDirectQueue = 16;  // for lease requests and for watches, each
+constexpr Millis kListTimeout = 4000;        // for each page
 constexpr Millis kLeaseTimeout = 2000;
 constexpr std::size_t kListPage = 500;
 constexpr Millis kPingTimeout = 1'000;
@@ -126,7 +126,7 @@
                        });
 }
 
-// Not counted as a request: whether it is answered says nothing that anybody waits for.
+// Not reported to the health tracker, because no caller waits for the reply.
 void Client::revoke_lease(std::uint64_t lease_id) {
     lease_http_.request("DELETE", lease_target(lease_id), "", kLeaseTimeout,
                         [](const net::ClientReply&) {});
--- a/src/kvstore/client.h
+++ b/src/kvstore/client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Typed calls to the state service, the replicated key-value store that all controllers share.
+/// Client of the state service, the replicated key-value store that all controllers share.
 #pragma once
 #include <uv.h>
 
@@ -15,17 +15,18 @@
 
 namespace nickelramp::kvstore {
 
-/// The state service's client of one controller: there is one, owned by controller::Controller.
-/// Reads and transactions wait for the budget (RequestQueue); leases and watches have connections
-/// of their own, so that a renewal never waits behind other requests.
+/// Typed calls of one controller to the state service. Owned by controller::Controller, which has
+/// one client. Reads and transactions are subject to the request budget (RequestQueue). Lease
+/// requests and watches have separate connections, so that a renewal never waits behind other
+/// requests.
 ///
-/// Every `done` is called exactly once, on the loop's thread and never from within the call, unless
-/// the client is destroyed before. Failures are in the reply's status. All times are milliseconds.
+/// Every `done` is called exactly once, on the event loop's thread and never from within the call,
+/// unless the client is destroyed first. The reply's status reports failures.
 class Client {
   public:
     Client(uv_loop_t* loop, const sockaddr_in& address, const std::string& host, RateLimits limits);
 
-    /// This client's part of the one budget that all controllers share.
+    /// Sets this client's part of the budget that all controllers share.
     void set_limits(RateLimits limits) { queue_.set_limits(limits); }
 
     using GetDone = std::function<void(const GetReply&)>;
@@ -34,39 +35,41 @@
     using LeaseDone = std::function<void(const LeaseReply&)>;
 
     void get(const std::string& key, RequestClass request_class, Millis timeout, GetDone done);
-    /// All keys with the prefix, read page by page. The revision is that of the first page. If a
-    /// page cannot be read, its status is the reply's.
+    /// Reads all keys with the prefix, page by page. The reply's revision is that of the first
+    /// page. If a page cannot be read, the reply has the status of that page.
     void list(const std::string& prefix, RequestClass request_class, ListDone done);
-    /// One page of at most `limit` keys with the prefix, beginning after `after`. The reply's
-    /// `more` tells whether others follow.
+    /// Reads one page of at most `limit` keys with the prefix, beginning after the key `after`. The
+    /// reply's `more` indicates whether further keys follow.
     void list_page(const std::string& prefix, const std::string& after, std::size_t limit,
                    RequestClass request_class, ListDone done);
-    /// `may_send` is asked right before the transaction goes out, however long it was queued; if it
-    /// says no, the reply is Status::refused. Without it, only the conditions guard the writes.
+    /// Commits a transaction. `may_send` is called right before the transaction is sent, which may
+    /// be long after it was queued. If it returns false, the reply is Status::refused. Without
+    /// `may_send`, only the conditions guard the writes.
     void commit(const Transaction& transaction, RequestClass request_class, Millis timeout,
                 CommitDone done, net::HttpClient::MaySend may_send = {});
-    /// All changes under the prefix after that revision, at once.
+    /// Reads all changes under the prefix after that revision, without waiting for new ones.
     void changes_since(const std::string& prefix, std::uint64_t after, RequestClass request_class,
                        Millis timeout, ListDone done);
-    /// One long poll for changes under the prefix after that revision; the caller opens the next.
-    /// Status::lease_or_revision_expired: the revision is too old, list again. Without a reply it
-    /// ends `grace` after `wait`, with Status::unknown.
+    /// Sends one long poll for changes under the prefix after that revision; the caller starts the
+    /// next one. Status::lease_or_revision_expired means that the revision is too old and the keys
+    /// must be listed again. Without a reply the poll ends after `wait` + `grace` with
+    /// Status::unknown.
     void watch(const std::string& prefix, std::uint64_t after, Millis wait, ListDone done,
                Millis grace = 5000);
 
     void grant_lease(Millis ttl, LeaseDone done);
-    /// Status::missing: the lease has ended.
+    /// Renews a lease. Status::missing means that the lease has ended.
     void renew_lease(std::uint64_t lease_id, Millis timeout, LeaseDone done);
-    /// Deletes the keys attached to the lease. Nobody is told if it fails: the lease then ends by
-    /// itself.
+    /// Ends the lease, which deletes the keys attached to it. Failures are not reported; the lease
+    /// then expires.
     void revoke_lease(std::uint64_t lease_id);
 
-    /// Nothing waits for the budget, and the service does not throttle.
+    /// Returns whether no request waits for the budget and the service does not throttle.
     [[nodiscard]] bool has_spare_budget() const;
-    /// When the service last answered, refusals aside; 0: never.
+    /// Returns when the service last answered, not counting refusals; 0: never.
     [[nodiscard]] Millis last_answer_at() const { return health_.last_answer_at(); }
     [[nodiscard]] const ServiceHealth& health() const { return health_.health(); }
-    /// Reads something if nothing was heard for a while, so that the health is known.
+    /// Reads a key if no reply was received for some time, so that the health is known.
     void ping();
 
   private:
--- a/src/kvstore/health_tracker.cpp
+++ b/src/kvstore/health_tracker.cpp
@@ -3,7 +3,7 @@
 namespace nickelramp::kvstore {
 
 namespace {
-constexpr Millis kPingAfter = 1'500;  // without a reply
+constexpr Millis kPingAfter = 1'500;  // time without a reply
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 
--- a/src/kvstore/health_tracker.h
+++ b/src/kvstore/health_tracker.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the replies of the state service say about its health, and whether it throttles.
+/// Derives the health of the state service, and whether it throttles, from its replies.
 #pragma once
 #include <cstddef>
 
@@ -8,27 +8,28 @@
 
 namespace nickelramp::kvstore {
 
-/// How long nothing is sent after a 429, in milliseconds.
+/// Time for which nothing is sent after a 429.
 inline constexpr Millis kThrottleBackoff = 200;
 
-/// Tracks requests that are to be answered at once, and all replies. Owned and fed by
-/// kvstore::Client on the loop's thread; it is handed the time and sends nothing.
+/// Tracks all replies, and the requests that the service should answer immediately. Owned by
+/// kvstore::Client; runs on the event loop's thread. Sends nothing and reads no clock.
 class HealthTracker {
   public:
-    /// A request that is to be answered at once goes out. Watches are not reported here: they may
-    /// take their time.
+    /// Records that a request was sent which the service should answer immediately. Watches are not
+    /// reported here, because they wait for changes.
     void on_request_sent(Millis now);
-    /// The reply to a request that was reported, also if there was none in time.
+    /// Records the outcome of a request that was reported to on_request_sent(), including timeouts.
     void on_request_reply(const net::ClientReply& reply, Millis now);
-    /// Any other reply: of a watch.
+    /// Records the reply to a watch.
     void on_watch_reply(const net::ClientReply& reply, Millis now) { on_reply(reply, now); }
 
     [[nodiscard]] const ServiceHealth& health() const { return health_; }
-    /// When the service last answered, refusals (503) aside; 0: never.
+    /// Returns when the service last answered, not counting refusals (503); 0: never.
     [[nodiscard]] Millis last_answer_at() const { return last_answer_at_; }
-    /// Nothing is to be sent now: there were too many requests.
+    /// Returns whether sending is suspended because the service reported too many requests.
     [[nodiscard]] bool throttled(Millis now) const { return now < throttled_until_; }
-    /// Nothing is under way and nothing was heard for a while, so that the health is not known.
+    /// Returns whether no request is in flight and no reply was received for some time, so that the
+    /// health is unknown.
     [[nodiscard]] bool needs_ping(Millis now) const;
 
   private:
@@ -36,7 +37,7 @@
 
     ServiceHealth health_;
     Millis last_answer_at_ = 0;
-    Millis last_reply_at_ = 0;  // refusals count
+    Millis last_reply_at_ = 0;  // including refusals
     Millis throttled_until_ = 0;
     std::size_t requests_in_flight_ = 0;
 };
--- a/src/kvstore/protocol.cpp
+++ b/src/kvstore/protocol.cpp
@@ -7,8 +7,8 @@
 namespace {
 constexpr const char* kNoSuchLease = "no such lease";
 
-// Keys come as "path" where they are read, and as "set" or "drop" among changes. The key is empty
-// if the item names none.
+// The key is in the field "path" of items that are read, and in "set" or "drop" of changes. The
+// entry's key is empty if the item has none of these fields.
 Entry parse_entry(const Json& item) {
     Entry entry;
     if (auto read = wire::text_field(item, "path"))
@@ -24,7 +24,7 @@
     return entry;
 }
 
-// False if there is no such list, or if an item in it names no key.
+// Returns false if there is no such list, or if an item in it has no key.
 [[nodiscard]] bool parse_entries(const Json& body, const char* list_name,
                                  std::vector<Entry>& entries) {
     const Json* list = wire::field(body, list_name);
--- a/src/kvstore/protocol.h
+++ b/src/kvstore/protocol.h
@@ -1,8 +1,8 @@
 /// @file
-/// The state service's HTTP protocol: targets and bodies of requests, and what its replies mean.
+/// The state service's HTTP protocol: targets and bodies of requests, and parsing of replies.
 ///
-/// This is the only place that knows the protocol's names ("path", "stamp", "permit", "epoch").
-/// Pure functions: nothing is sent here, and a reply that breaks the protocol is reported as
+/// Only this module uses the protocol's names ("path", "stamp", "permit", "epoch").
+/// All functions are pure. A reply that violates the protocol is reported as
 /// Status::protocol_error.
 #pragma once
 #include <cstdint>
@@ -13,14 +13,16 @@
 
 namespace nickelramp::kvstore {
 
-/// What a reply's HTTP status means, before its body is read.
+/// Returns the status that follows from the reply's HTTP status alone, before the body is parsed.
 [[nodiscard]] Status status_of(const net::ClientReply& reply);
 
 [[nodiscard]] std::string get_target(const std::string& key);
-/// One page of at most `limit` keys with the prefix, beginning after `after` if it isn't empty.
+/// Returns the target for one page of at most `limit` keys with the prefix, beginning after the key
+/// `after` if it isn't empty.
 [[nodiscard]] std::string list_target(const std::string& prefix, const std::string& after,
                                       std::size_t limit);
-/// Changes under the prefix after that revision; the service waits up to `wait` for the first.
+/// Returns the target for changes under the prefix after that revision. The service waits up to
+/// `wait` for the first change.
 [[nodiscard]] std::string watch_target(const std::string& prefix, std::uint64_t after, Millis wait);
 [[nodiscard]] std::string lease_target(std::uint64_t lease_id);
 [[nodiscard]] std::string renewal_target(std::uint64_t lease_id);
@@ -30,11 +32,12 @@
 
 [[nodiscard]] GetReply parse_get_reply(const net::ClientReply& reply);
 [[nodiscard]] ListReply parse_list_reply(const net::ClientReply& reply);
-/// Of a watch, or of a request for changes.
+/// Parses the reply to a watch or to a request for changes.
 [[nodiscard]] ListReply parse_changes_reply(const net::ClientReply& reply);
-/// A success that names no revision is Status::unknown: the transaction may have been applied.
+/// Returns Status::unknown for a success without a revision, because the transaction may have been
+/// applied.
 [[nodiscard]] CommitReply parse_commit_reply(const net::ClientReply& reply);
-/// Of a grant, which must name the lease: without one it is Status::protocol_error.
+/// Parses the reply to a grant. A success without a lease id is Status::protocol_error.
 [[nodiscard]] LeaseReply parse_grant_reply(const net::ClientReply& reply);
 [[nodiscard]] LeaseReply parse_renewal_reply(const net::ClientReply& reply);
 
--- a/src/kvstore/request_budget.h
+++ b/src/kvstore/request_budget.h
@@ -7,8 +7,8 @@
 
 namespace nickelramp::kvstore {
 
-/// How much of the rate limits is left. Each bucket holds at most what a second brings, and starts
-/// full. Handed the time; used by RequestQueue only.
+/// Remaining request and write tokens. Each bucket starts full and holds at most the tokens of one
+/// second. Reads no clock. Used by RequestQueue only.
 class RequestBudget {
   public:
     RequestBudget(RateLimits limits, Millis now)
@@ -17,7 +17,8 @@
           write_tokens_(limits.writes_per_s),
           refilled_at_(now) {}
 
-    /// Takes effect with the next refill; what is saved up is kept until then.
+    /// Sets new limits, which take effect with the next refill. Existing tokens are kept until
+    /// then.
     void set_limits(RateLimits limits) { limits_ = limits; }
 
     void refill(Millis now) {
@@ -29,8 +30,9 @@
             std::min(limits_.writes_per_s, write_tokens_ + elapsed_s * limits_.writes_per_s);
     }
 
-    /// Does the budget allow a request with so many writes? A transaction larger than half a
-    /// second's writes may overdraw: it could otherwise wait for ever.
+    /// Returns whether the budget allows a request with this many writes. A transaction that writes
+    /// more than the tokens of half a second may overdraw the bucket, because it could otherwise
+    /// wait forever.
     [[nodiscard]] bool allows(double writes) const {
         return request_tokens_ >= 1 && write_tokens_ >= std::min(writes, limits_.writes_per_s / 2);
     }
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 constexpr std::size_t kMaxConnections = 12;
-constexpr std::size_t kMaxQueue = 2000;  // of each class
-constexpr Millis kRetryStep = 10;        // while the budget is short
+constexpr std::size_t kMaxQueue = 2000;  // for each class
+constexpr Millis kRetryStep = 10;        // while the budget is exhausted
 constexpr int kTooManyRequests = 429;
 
 net::ClientReply refused_reply() {
@@ -28,7 +28,8 @@
 
 void RequestQueue::submit(RequestClass request_class, QueuedRequest request) {
     Queue& queue = queues_[static_cast<std::size_t>(request_class)];
-    // Without room it expires at the next turn: replies never come from within this call.
+    // If the queue is full, the request gets a deadline in the past and is refused by
+    // send_queued().
     const Millis deadline = queue.size() >= kMaxQueue ? 0 : now() + request.timeout;
     queue.push_back({std::move(request), deadline});
     send_queued();
@@ -51,7 +52,8 @@
     for (auto& done : expired) done(refused_reply());
 }
 
-// False if some of the queue has to wait for the budget; the classes after it then wait, too.
+// Returns false if a request in the queue has to wait for the budget. The classes after it then
+// wait, too.
 bool RequestQueue::send_queue(Queue& queue, Millis now,
                               std::vector<net::HttpClient::Done>& expired) {
     while (!queue.empty()) {
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sends requests to the state service within the budget, the most important class first.
+/// Sends requests to the state service within the budget, in the order of their classes.
 #pragma once
 #include <uv.h>
 
@@ -15,21 +15,21 @@
 
 namespace nickelramp::kvstore {
 
-/// One HTTP request that waits for the budget.
+/// An HTTP request that waits for the budget.
 struct QueuedRequest {
     const char* method = nullptr;
     std::string target;
     std::string body;
-    double writes = 0;   ///< how many keys it writes, for the budget
-    Millis timeout = 0;  ///< from when it was queued, waiting included
+    double writes = 0;   ///< number of keys that it writes
+    Millis timeout = 0;  ///< from the time of queueing, including the wait for the budget
     net::HttpClient::Done on_reply;
-    net::HttpClient::MaySend may_send;  ///< asked right before it goes out; empty: always
+    net::HttpClient::MaySend may_send;  ///< called right before it is sent; empty: always true
 };
 
-/// Owned by kvstore::Client; runs on its loop's thread. A request that is not sent by its deadline,
-/// or that finds its queue full, is answered as refused. One that is answered with 429 is sent
-/// again, ahead of the others of its class, as long as its deadline allows: the service had no room
-/// for a moment only.
+/// Owned by kvstore::Client; runs on the event loop's thread. A request that is not sent by its
+/// deadline, or whose queue is full, is completed as refused. A request that is answered with 429
+/// is sent again ahead of the others of its class, as long as its deadline allows, because the
+/// service is expected to be overloaded only briefly.
 class RequestQueue {
   public:
     /// `health` must outlive the queue.
@@ -38,7 +38,7 @@
 
     void set_limits(RateLimits limits) { budget_.set_limits(limits); }
     void submit(RequestClass request_class, QueuedRequest request);
-    /// Nothing waits for the budget.
+    /// Returns whether no request waits for the budget.
     [[nodiscard]] bool empty() const;
 
   private:
--- a/src/kvstore/types.h
+++ b/src/kvstore/types.h
@@ -1,7 +1,7 @@
 /// @file
 /// Plain types of the key-value store: entries, transactions, replies and their status.
 ///
-/// Nothing here depends on libuv, so that code which only decides can use transactions and replies
+/// This header does not depend on libuv, so that code without I/O can use transactions and replies
 /// without the client that sends them (kvstore/client.h).
 #pragma once
 #include <cstdint>
@@ -16,22 +16,22 @@
 
 using wire::Json;
 
-/// How a request to the store ended. `refused` and `unknown` differ in what the caller may assume:
-/// a refused request was certainly not executed, an unknown one may still be.
+/// Outcome of a request to the store. A `refused` request was certainly not executed. An `unknown`
+/// one may have been executed or may still be.
 enum class Status {
     ok,
     conflict,                   ///< 409: a condition of the transaction failed
     missing,                    ///< 404: no such key, or no such lease
     lease_or_revision_expired,  ///< 410 for watches, 400 "no such lease" for writes
     refused,                    ///< certainly not executed: 503, 429, or never sent
-    unknown,                    ///< may have been, or may yet be, executed
-    protocol_error,             ///< a reply that breaks the protocol
+    unknown,                    ///< may have been executed, or may be executed later
+    protocol_error,             ///< the reply violates the protocol
 };
 
-/// The status in a word, for logs.
+/// Returns the status as a word, for logs.
 [[nodiscard]] const char* name(Status status);
 
-/// A key with its value as it was read, or its deletion.
+/// A key with the value that was read, or the deletion of a key.
 struct Entry {
     std::string key;
     Json value;
@@ -45,38 +45,39 @@
     Entry entry;
 };
 
-/// The version of the key that was read: 0 if it does not exist, nothing if the reply does not say.
+/// Returns the version of the key that was read, 0 if it does not exist, or nothing if the read
+/// failed.
 [[nodiscard]] std::optional<std::uint64_t> version_of(const GetReply& reply);
 
 /// Reply to a list or a watch. The other fields are valid only with Status::ok.
 struct ListReply {
     Status status = Status::unknown;
-    std::vector<Entry> entries;  ///< in the order of their keys; of a watch, of their revisions
-    std::uint64_t revision = 0;  ///< of the store when it replied
-    bool more = false;           ///< of a single page: further keys follow
+    std::vector<Entry> entries;  ///< in the order of keys; for a watch, of revisions
+    std::uint64_t revision = 0;  ///< revision of the store when it replied
+    bool more = false;           ///< for a single page: further keys follow
 };
 
 /// Reply to a transaction.
 struct CommitReply {
     Status status = Status::unknown;
-    std::uint64_t revision = 0;  ///< with Status::ok, the version of what was written
-    std::vector<std::string> failed_conditions;  ///< with Status::conflict, the keys at fault
+    std::uint64_t revision = 0;  ///< with Status::ok, the version of the written keys
+    std::vector<std::string> failed_conditions;  ///< with Status::conflict, their keys
 };
 
-/// Reply to a grant or a renewal of a lease. A renewal's reply need not repeat the id.
+/// Reply to the grant or renewal of a lease. The reply to a renewal may omit the id.
 struct LeaseReply {
     Status status = Status::unknown;
     std::uint64_t lease_id = 0;
 };
 
-/// Which requests go first while the budget is short, in this order. `election` is for the few
-/// requests that everything else waits for: what a term begins with, and what is written at most
-/// once a second. It comes before `user` because a steady stream of user requests must not keep
-/// controllers from being elected.
+/// Classes of requests, in the order in which they are sent while the budget is limited. `election`
+/// is for the few requests that all other work depends on: those at the start of a term, and writes
+/// that occur at most once a second. It precedes `user` because a steady stream of user requests
+/// must not prevent elections.
 enum class RequestClass { election, user, control, background_urgent, background };
 inline constexpr std::size_t kRequestClassCount = 5;
 
-/// The key must have exactly this version when the transaction is applied.
+/// Requires that the key has exactly this version when the transaction is applied.
 struct Condition {
     std::string key;
     std::uint64_t version = 0;  ///< 0: the key must not exist
@@ -86,10 +87,10 @@
 struct Write {
     std::string key;
     std::optional<Json> value;   ///< none: the key is deleted
-    std::uint64_t lease_id = 0;  ///< the key vanishes with this lease; 0: it is permanent
+    std::uint64_t lease_id = 0;  ///< the key is deleted with this lease; 0: it is permanent
 };
 
-/// All writes are applied if every condition holds, otherwise none.
+/// A transaction. All writes are applied if every condition holds, otherwise none.
 struct Transaction {
     std::vector<Condition> conditions;
     std::vector<Write> writes;
@@ -102,11 +103,11 @@
     double writes_per_s = 0;
 };
 
-/// How the store treats this client. A 503 is a refusal; any other reply, even one that says there
-/// are too many requests, is an answer. Times are of the loop's steady clock.
+/// Health of the store as seen by this client. A 503 is a refusal. Any other reply, including 429,
+/// is an answer. Times are those of the event loop's steady clock.
 struct ServiceHealth {
-    Millis refused_since = -1;     ///< when refusals began that no answer followed; -1: none
-    Millis unanswered_since = -1;  ///< first request since the last answer; -1: none is open
+    Millis refused_since = -1;     ///< first refusal since the last answer; -1: none
+    Millis unanswered_since = -1;  ///< start of the wait for an answer; -1: none is missing
 };
 
 }  // namespace nickelramp::kvstore
