--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,6 +1,7 @@
-// One controller's work goes to another: what is in use at that moment, what is cancelled in it,
-// and what is heard late (docs/design/combined-faults.md). Each test counts that its meeting came
-// about.
+/// @file
+/// Failover combined with other faults: quota in use at that time, cancellations, and messages that
+/// arrive late (docs/design/combined-faults.md). Each test also checks how often the intended
+/// combination occurred.
 #include <gtest/gtest.h>
 
 #include "tests/cluster_simulation.h"
@@ -16,10 +17,10 @@
 const Millis kLease = seconds(test::simulation_settings().lease_s);
 const Millis kCancel = seconds(test::simulation_settings().cancel_s);
 
-// What was submitted, and what its users have asked to cancel.
+// Jobs that were submitted, and those whose cancellation was requested.
 struct Work {
     std::vector<std::string> ids, asked;
-    std::map<std::string, std::uint32_t> services;  // with their tasks
+    std::map<std::string, std::uint32_t> services;  // number of tasks by job id
 
     void submit(ClusterSimulation& simulation, const std::string& shape, std::uint32_t tasks,
                 const char* team) {
@@ -31,7 +32,8 @@
         if (shape == "standing") services[ids.back()] = tasks;
         simulation.submit(spec);
     }
-    // More than both teams may have at once: half of it services, the rest ends and is followed.
+    // Submits more than the quotas of both teams allow at once: services that run permanently, and
+    // arrays and gangs that end and are replaced by waiting ones.
     void fill(ClusterSimulation& simulation, int rounds) {
         for (int n = 0; n < rounds; ++n) {
             for (const char* team : {"red", "blue"}) {
@@ -48,9 +50,11 @@
     }
 };
 
-// Troubles end then. What was cancelled is told soon, the rest ends or runs, and book and records
-// agree. Whoever could not be reached may have been answered for two leases and lives one more.
-void settles(ClusterSimulation& simulation, const Work& work, Millis over) {
+// Expects the cluster to recover once faults end at `over`: cancelled jobs soon have a final state,
+// the others finish or run, and the leader's cluster state agrees with the stored records. Tasks on
+// an unreachable machine may run for three more leases: its heartbeats may be answered for two, and
+// its own lease lasts for one more.
+void expect_settled(ClusterSimulation& simulation, const Work& work, Millis over) {
     simulation.run_until(std::max(simulation.now(), over));
     simulation.clear_faults();
     auto wait = [&](Millis most, const std::function<std::string()>& missing) {
@@ -62,38 +66,39 @@
     };
     wait(25'000 + 3 * kLease + 5'000, [&]() -> std::string {
         for (const std::string& id : work.asked)
-            if (simulation.final_state(id).empty()) return id + " is not told";
+            if (simulation.final_state(id).empty()) return id + " has no final state";
         return "";
     });
     wait(300'000, [&]() -> std::string {
         for (const std::string& id : work.ids) {
             auto service = work.services.find(id);
             if (!simulation.final_state(id).empty()) continue;
-            if (service == work.services.end()) return id + " does not end";
-            if (simulation.tasks_on_machines(id) < service->second) return id + " does not run";
+            if (service == work.services.end()) return id + " does not finish";
+            if (simulation.tasks_on_machines(id) < service->second)
+                return id + " does not run all tasks";
         }
         return simulation.inconsistent_job();
     });
 }
 
-struct Blow {
+struct LeaderFault {
     const char* name;
-    std::function<void(ClusterSimulation&, Random&)> strike;
+    std::function<void(ClusterSimulation&, Random&)> inject_fault;
 };
-const Blow kBlows[] = {
+const LeaderFault kLeaderFaults[] = {
     {"none", [](ClusterSimulation&, Random&) {}},
     {"refused", [](ClusterSimulation& simulation,
                    Random& r) { simulation.reject_leader_at_state_service(5'000 + r() % 40'000); }},
-    {"ends", [](ClusterSimulation& simulation, Random&) { simulation.crash_leader(); }},
-    {"stands still", [](ClusterSimulation& simulation,
-                        Random& r) { simulation.freeze_leader(3'000 + r() % 30'000); }},
-    {"ends twice",
+    {"crashes", [](ClusterSimulation& simulation, Random&) { simulation.crash_leader(); }},
+    {"freezes", [](ClusterSimulation& simulation,
+                   Random& r) { simulation.freeze_leader(3'000 + r() % 30'000); }},
+    {"crashes twice",
      [](ClusterSimulation& simulation, Random& r) {
          simulation.crash_leader();
          simulation.run_until(simulation.now() + 3'000 + r() % 5'000);
          simulation.crash_leader();
      }},
-    {"refused, then down for all",
+    {"refused, then state service down",
      [](ClusterSimulation& simulation, Random& r) {
          simulation.reject_leader_at_state_service(3'000 + r() % 40'000);
          simulation.run_until(simulation.now() + 500 + r() % 1'000);
@@ -101,13 +106,14 @@
      }},
 };
 
-// Both teams are at their limits with more to start, some machines can not be asked, the leader
-// changes and jobs are cancelled. The world counts every task that has its image, wherever it is,
-// at each start, and looks for what is left at each telling.
+// Both teams are at their quotas with more tasks waiting, some machines are unreachable, the leader
+// changes and jobs are cancelled. At each start the simulation counts all tasks whose image has
+// been fetched, on any machine. When a job is reported as ended, it checks that no task of it is
+// left.
 TEST(Failover, EveryTeamAtItsLimit) {
     struct Machines {
         const char* name;
-        std::function<void(ClusterSimulation&, Random&, Millis)> befall;
+        std::function<void(ClusterSimulation&, Random&, Millis)> start_failure;
     };
     auto some = [](ClusterSimulation& simulation, Random& r, auto f) {
         for (const std::string& name : simulation.working_machines())
@@ -120,17 +126,17 @@
              simulation.partition(
                  {"b", 0.5, false, r() % 2 == 0, r() % 2 == 0, simulation.now(), until});
          }},
-        {"hanging",
+        {"frozen",
          [](ClusterSimulation& simulation, Random& r, Millis until) {
              for (const char* zone : {"a", "b"})
                  simulation.partition(
                      {zone, 0.5, true, r() % 2 == 0, false, simulation.now(), until});
          }},
-        {"deaf",
+        {"inbound messages blocked",
          [&](ClusterSimulation& simulation, Random& r, Millis until) {
              some(simulation, r, [&](auto& name) { simulation.block_inbound(name, until); });
          }},
-        {"mute",
+        {"commands blocked",
          [&](ClusterSimulation& simulation, Random& r, Millis until) {
              some(simulation, r, [&](auto& name) { simulation.block_commands(name, until); });
          }},
@@ -144,7 +150,7 @@
     std::uint64_t seed = 2'000;
     std::size_t full = 0, changes = 0, told = 0, lent = 0;
     for (const Machines& m : machines) {
-        for (const Blow& fault : kBlows) {
+        for (const LeaderFault& fault : kLeaderFaults) {
             for (std::uint32_t share = 0; share < 3; ++share) {
                 if (HasFailure()) return;
                 SCOPED_TRACE(testing::Message() << m.name << ", leader " << fault.name << ", seed "
@@ -156,21 +162,21 @@
                 work.fill(simulation, 4);
                 simulation.run_until(35'000 + random() % 10'000);
                 const std::size_t terms = simulation.term_count();
-                // Shorter than a lease and longer: it goes on, or has lost its tasks.
+                // Shorter or longer than a lease: a machine keeps its tasks or loses them.
                 const Millis until = simulation.now() + 4'000 + random() % 45'000;
                 const bool before = random() % 2 == 0;
                 double red = 0, blue = 0;
-                if (before) m.befall(simulation, random, until);
+                if (before) m.start_failure(simulation, random, until);
                 for (const std::string& id : work.ids) {
                     red = std::max(red, simulation.gpus_used_by("red"));
                     blue = std::max(blue, simulation.gpus_used_by("blue"));
                     if (random() % 3 == 0) work.ask(simulation, id);
-                    if (id == work.ids[3]) fault.strike(simulation, random);
-                    if (id == work.ids[3] && !before) m.befall(simulation, random, until);
+                    if (id == work.ids[3]) fault.inject_fault(simulation, random);
+                    if (id == work.ids[3] && !before) m.start_failure(simulation, random, until);
                     if (share > 0 && random() % 12 == 0) simulation.restart_holders();
                     simulation.run_until(simulation.now() + random() % 1'500);
                 }
-                settles(simulation, work, until + 1'000);
+                expect_settled(simulation, work, until + 1'000);
                 full += red > 11 && blue > 15 ? 1 : 0;
                 changes += simulation.term_count() - terms;
                 told += work.asked.size();
@@ -184,37 +190,37 @@
     EXPECT_GT(lent, 100u);
 }
 
-// --- what changes hands
+// --- Jobs whose work is being handed over
 
-using Find =
-    std::function<std::string(ClusterSimulation&)>;  // a job in that moment; empty: not now
+using FindJob =
+    std::function<std::string(ClusterSimulation&)>;  // id of a job in that phase; empty: none
 
 std::string find(ClusterSimulation& simulation,
-                 const std::function<bool(const jobs::Job&)>& meets) {
+                 const std::function<bool(const jobs::Job&)>& satisfies) {
     if (simulation.leader() == nullptr) return "";
     for (const auto& [id, j] : simulation.leader()->open_jobs())
-        if (j->state == jobs::JobState::open && meets(*j)) return id;
+        if (j->state == jobs::JobState::open && satisfies(*j)) return id;
     return "";
 }
 
-bool taking_back(ClusterSimulation& simulation) {
+bool shard_reclaim_in_progress(ClusterSimulation& simulation) {
     const auto& all = simulation.leader()->registry().all();
     return std::any_of(all.begin(), all.end(), [](const auto* m) { return m->recovering_jobs; });
 }
 
-// A cancellation falls into the moment in which a job's work goes from one to another, alone or
-// with a blow to the leader, and its holder may end as well.
+// A job is cancelled while its work is being handed over, alone or together with a fault of the
+// leader. The holder of its shard may crash as well.
 TEST(Failover, CancellationsWhileJobsChangeHands) {
-    const std::pair<const char*, Find> moments[] = {
-        {"records are read",
+    const std::pair<const char*, FindJob> moments[] = {
+        {"records being read",
          [](ClusterSimulation& simulation) {
              return simulation.leader_is_loading() ? std::string("any") : "";
          }},
-        {"checkpoint under way",
+        {"checkpoint in flight",
          [](ClusterSimulation& simulation) {
              return find(simulation, [](auto& j) { return j.commit_in_flight; });
          }},
-        {"gang half started",
+        {"gang partly started",
          [](ClusterSimulation& simulation) {
              return find(simulation, [](auto& j) {
                  auto waits = [](auto& a) { return a->state == jobs::AttemptState::waiting; };
@@ -222,24 +228,24 @@
                  return j.is_gang() && n > 0 && n < static_cast<long>(j.spec.tasks);
              });
          }},
-        {"lent, not begun",
+        {"delegated, not started",
          [](ClusterSimulation& simulation) {
              return find(simulation, [](auto& j) {
                  return j.delegated_shard != kNone && j.delegated_running == 0;
              });
          }},
-        {"taken back",
+        {"being reclaimed",
          [](ClusterSimulation& simulation) {
              return find(simulation, [&](auto& j) {
-                 return j.delegated_shard != kNone && taking_back(simulation);
+                 return j.delegated_shard != kNone && shard_reclaim_in_progress(simulation);
              });
          }},
     };
     std::uint64_t seed = 3'000;
     std::map<std::string, std::size_t> met;
-    std::size_t wishes = 0;
+    std::size_t cancelled_during_load = 0;
     for (const auto& [name, now] : moments) {
-        for (const Blow& fault : kBlows) {
+        for (const LeaderFault& fault : kLeaderFaults) {
             for (int n = 0; n < 6; ++n) {
                 if (HasFailure()) return;
                 SCOPED_TRACE(testing::Message()
@@ -248,7 +254,7 @@
                 Faults slow;
                 slow.list_delay = 700;
                 slow.watch_delay = n % 2 == 0 ? 0 : 900;
-                // Gangs that could be lent would be.
+                // Without shards, because a gang that can be delegated is delegated.
                 const std::uint32_t share = name == moments[2].first ? 0 : 2;
                 ClusterSimulation simulation(seed, slow, share);
                 simulation.simulate_leader_leases();
@@ -272,20 +278,21 @@
                     work.ask(simulation, id);
                 }
                 if (share > 0 && random() % 3 == 0) simulation.restart_holders();
-                fault.strike(simulation, random);
+                fault.inject_fault(simulation, random);
                 simulation.run_until(simulation.now() + 45'000);
-                settles(simulation, work, 0);
-                wishes += simulation.coverage().cancellations_during_load;
+                expect_settled(simulation, work, 0);
+                cancelled_during_load += simulation.coverage().cancellations_during_load;
             }
         }
     }
     for (const auto& [name, now] : moments) EXPECT_GT(met[name], 9u) << name;
-    EXPECT_GT(wishes, 20u);
+    EXPECT_GT(cancelled_during_load, 20u);
 }
 
-// A holder ends a job, and the leader hears of it when it has read the job's records for itself, as
-// the block was taken back; or not at all, as its watch was lost. It had the job for good then, new
-// or lent, with its part of the limit, and no transaction for it could succeed.
+// A shard holder finishes a job. The leader learns of it only after it has read the job's records
+// while reclaiming the shard, or never, because its watch was interrupted. Guards against a fault
+// in which the leader then kept the job, new or delegated, and its share of the quota forever,
+// while no transaction for the job could succeed.
 TEST(Failover, CompletionsThatArriveLateOrNever) {
     std::size_t met[2] = {};
     for (std::uint64_t seed = 4'000; seed < 4'100 && !HasFailure(); ++seed) {
@@ -312,15 +319,16 @@
             late |= over(lost);
         }
         met[lost] += late ? 1 : 0;
-        settles(simulation, work, 0);
+        expect_settled(simulation, work, 0);
     }
     EXPECT_GT(met[0], 10u);
     EXPECT_GT(met[1], 10u);
 }
 
-// A holder lets its block go, and the leader goes on granting it: it does not take it up again, and
-// nobody has the jobs. It heard no grants for a while, or a machine of the block has failed, so
-// that the block's record was written again and its transactions failed.
+// A holder releases its shard, and the leader continues to grant it. The holder does not accept it
+// again, so that no controller runs its jobs. The holder releases the shard because it received no
+// grants for a while, or because a machine of the shard failed: the shard's record was then
+// rewritten and the holder's transactions failed.
 TEST(Failover, AHolderThatHasReleasedItsShard) {
     std::size_t lent = 0;
     for (std::uint64_t seed = 5'000; seed < 5'080 && !HasFailure(); ++seed) {
@@ -350,14 +358,14 @@
             work.submit(simulation, "sweep", 2, "blue");
             simulation.run_until(simulation.now() + 4'000);
         }
-        settles(simulation, work, 0);
+        expect_settled(simulation, work, 0);
     }
     EXPECT_GT(lent, 15u);
 }
 
-// Reports of before reach every controller in the moment in which a leader begins, and again when
-// it has acted; others are held back until then on their way. They are of earlier sessions and
-// attempts, of machines that are gone and of workers that have begun anew.
+// Copies of earlier heartbeats reach every controller when a new leader starts, and again after it
+// has acted. Other heartbeats are delayed until then. They contain earlier sessions and attempts,
+// and come from machines that are gone and from workers that have restarted.
 TEST(Failover, OldHeartbeatsAtANewLeader) {
     ClusterSimulation::Coverage met;
     for (std::uint64_t seed = 6'000; seed < 6'060 && !HasFailure(); ++seed) {
@@ -381,10 +389,10 @@
             }
             work.ask(simulation, work.ids[random() % work.ids.size()]);
             simulation.run_until(simulation.now() + random() % 20'000);
-            kBlows[1 + random() % 4].strike(simulation, random);
+            kLeaderFaults[1 + random() % 4].inject_fault(simulation, random);
             simulation.run_until(simulation.now() + 4'000 + random() % 9'000);
         }
-        settles(simulation, work, simulation.now() + kLease + 4'000);
+        expect_settled(simulation, work, simulation.now() + kLease + 4'000);
         met.held_copies += simulation.coverage().held_copies;
         met.held_copies_of_gone_machines += simulation.coverage().held_copies_of_gone_machines;
         met.held_copies_of_old_incarnations +=
--- a/tests/kvstore_test.cpp
+++ b/tests/kvstore_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The parts of the key-value store's client that need no connection: budget, health and protocol.
+/// Unit tests of the key-value store client: request budget, health tracker and protocol.
 #include <gtest/gtest.h>
 
 #include "kvstore/health_tracker.h"
@@ -14,24 +14,24 @@
     return {net::ClientReply::Outcome::answered, status, wire::encode(body), 0};
 }
 
-TEST(RequestBudget, SavesUpASecondAndLetsLargeTransactionsOverdraw) {
+TEST(RequestBudget, HoldsTokensOfOneSecondAndLetsLargeTransactionsOverdraw) {
     kvstore::RequestBudget budget({2, 10}, 0);
-    EXPECT_TRUE(budget.allows(50)) << "more writes than are ever saved up";
+    EXPECT_TRUE(budget.allows(50)) << "a large transaction may overdraw";
     budget.spend(50);
     EXPECT_FALSE(budget.allows(1));
-    EXPECT_TRUE(budget.allows(-40)) << "requests are left";
+    EXPECT_TRUE(budget.allows(-40)) << "request tokens are left";
     budget.spend(0);
-    EXPECT_FALSE(budget.allows(-40)) << "no request is left";
+    EXPECT_FALSE(budget.allows(-40)) << "no request token is left";
     budget.refill(500);
     EXPECT_TRUE(budget.allows(-40));
-    EXPECT_FALSE(budget.allows(1)) << "35 writes are owed";
+    EXPECT_FALSE(budget.allows(1)) << "35 writes are overdrawn";
     budget.refill(60'000);
     EXPECT_TRUE(budget.allows(10));
     budget.spend(6);
-    EXPECT_FALSE(budget.allows(5)) << "a minute saves up no more than a second";
+    EXPECT_FALSE(budget.allows(5)) << "the bucket holds the tokens of one second only";
 }
 
-TEST(HealthTracker, TellsRefusalsFromAnswersAndFromSilence) {
+TEST(HealthTracker, DistinguishesRefusalsAnswersAndTimeouts) {
     kvstore::HealthTracker tracker;
     tracker.on_request_sent(100);
     EXPECT_EQ(tracker.health().unanswered_since, 100);
@@ -51,10 +51,10 @@
     EXPECT_FALSE(tracker.needs_ping(420));
     EXPECT_TRUE(tracker.needs_ping(2'000));
     tracker.on_request_sent(2'000);
-    EXPECT_FALSE(tracker.needs_ping(2'000)) << "a request is under way";
+    EXPECT_FALSE(tracker.needs_ping(2'000)) << "a request is in flight";
 }
 
-TEST(KeyValueStoreProtocol, ASuccessThatNamesNoRevisionIsUnknown) {
+TEST(KeyValueStoreProtocol, ASuccessWithoutARevisionIsUnknown) {
     EXPECT_EQ(kvstore::parse_commit_reply(answered(200)).status, kvstore::Status::unknown);
     const auto committed = kvstore::parse_commit_reply(answered(200, {{"epoch", 7}}));
     EXPECT_EQ(committed.status, kvstore::Status::ok);
@@ -63,7 +63,7 @@
     EXPECT_EQ(kvstore::parse_renewal_reply(answered(200)).status, kvstore::Status::ok);
 }
 
-TEST(KeyValueStoreProtocol, WhatWasNotAnsweredIsUnknownAndWhatWasNotSentIsRefused) {
+TEST(KeyValueStoreProtocol, UnansweredRequestsAreUnknownAndUnsentOnesRefused) {
     EXPECT_EQ(kvstore::status_of({}), kvstore::Status::unknown);
     net::ClientReply unsent;
     unsent.outcome = net::ClientReply::Outcome::refused;
--- a/tests/role_parts_test.cpp
+++ b/tests/role_parts_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The parts of the role manager that need no simulation: the helper's lease, the directory of
-/// peers and the delegated requests.
+/// Unit tests of the parts of the role manager: helper lease, peer directory and delegated
+/// requests.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -16,7 +16,7 @@
 using kvstore::Status;
 using roles::HelperLease;
 
-// Keeps what is asked; the test answers.
+// Records requests; the test calls their `done` functions.
 struct RecordingLeaseStore : lease::LeaseStore {
     std::vector<LeaseDone> grants;
     std::vector<LeaseDone> renewals;
@@ -41,13 +41,13 @@
     }
 };
 
-TEST_F(HelperLeases, IsAcquiredOnlyWhileALeaderAsksForHelp) {
+TEST_F(HelperLeases, IsAcquiredOnlyWhileALeaderRequestsHelp) {
     helper_lease.run_due_work(0);
     EXPECT_TRUE(store.grants.empty());
     hold(7);
     EXPECT_EQ(helper_lease.id(), 7u);
     EXPECT_EQ(helper_lease.valid_until(), 1'000 + without_clock_drift(lease::kLeaseDuration))
-        << "counted from when it was asked for";
+        << "counted from the time of the request";
     EXPECT_EQ(helper_lease.valid_id(4'900), 7u);
     EXPECT_EQ(helper_lease.valid_id(5'000), 0u);
     helper_lease.run_due_work(30'000);
@@ -56,7 +56,7 @@
     EXPECT_EQ(lost, 1);
 }
 
-TEST_F(HelperLeases, ALeaseThatIsGrantedTooLateIsRevoked) {
+TEST_F(HelperLeases, ALeaseGrantedTooLateIsRevoked) {
     helper_lease.keep_until(30'000);
     helper_lease.run_due_work(1'000);
     ASSERT_EQ(store.grants.size(), 1u);
@@ -66,12 +66,12 @@
     EXPECT_EQ(store.revoked, std::vector<std::uint64_t>{7});
 }
 
-TEST_F(HelperLeases, ARenewalThatFindsNoLeaseEndsIt) {
+TEST_F(HelperLeases, ARenewalThatFindsNoLeaseEndsTheHelperLease) {
     hold(7);
     helper_lease.run_due_work(2'000);
     ASSERT_EQ(store.renewals.size(), 1u);
     store.renewals[0](2'100, {Status::unknown, 0});
-    EXPECT_EQ(helper_lease.id(), 7u) << "it may have been renewed";
+    EXPECT_EQ(helper_lease.id(), 7u) << "the lease may have been renewed";
     helper_lease.run_due_work(3'000);
     ASSERT_EQ(store.renewals.size(), 2u);
     store.renewals[1](3'100, {Status::missing, 0});
@@ -80,22 +80,22 @@
     EXPECT_TRUE(store.revoked.empty());
 }
 
-TEST(PeerDirectory, OnlyPeersThatAreHeardAndServedCanHelp) {
+TEST(PeerDirectory, OnlyPeersWithRecentStatusAndStateServiceAreEligible) {
     roles::PeerDirectory directory;
     peers::Status served;
     served.from = "b";
-    peers::Status unserved;
-    unserved.from = "a";
-    unserved.state_age_ms = 60'000;
+    peers::Status without_state_service;
+    without_state_service.from = "a";
+    without_state_service.state_age_ms = 60'000;
     EXPECT_EQ(directory.first_eligible(1'000), "");
     directory.on_status(served, 1'000);
-    directory.on_status(unserved, 1'000);
+    directory.on_status(without_state_service, 1'000);
     EXPECT_EQ(directory.first_eligible(1'000), "b");
     EXPECT_EQ(directory.find_eligible("a", 1'000), nullptr);
     EXPECT_EQ(directory.find_eligible("b", 60'000), nullptr);
 }
 
-TEST(DelegatedRequests, EachIsAnsweredOnce) {
+TEST(DelegatedRequests, EachIsCompletedOnce) {
     using Result = cloud::ProvisionReply::Result;
     roles::DelegatedRequests requests;
     std::vector<Result> answers;
--- a/tests/roles_test.cpp
+++ b/tests/roles_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Roles among whole controllers that fail: no two act under one role, each role has a holder soon
-/// after any failure, and what a replaced holder had under way does no harm.
+/// Roles in simulations of several controllers with failures. No two controllers act under one
+/// role, each role has a holder soon after any failure, and pending requests of a replaced holder
+/// have no effect.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -14,8 +15,8 @@
 using lease::Role;
 using test::ElectionSimulation;
 
-// Writes the records of jobs; of every `orphan_every`th, only runs are left. Returns the number of
-// these orphaned records.
+// Writes the records of jobs. Every `orphan_every`th job has only run records. Returns the number
+// of these orphaned records.
 std::size_t write_jobs(ElectionSimulation& simulation, int jobs, int orphan_every) {
     std::size_t orphans = 0;
     for (int job = 0; job < jobs; ++job) {
@@ -47,12 +48,13 @@
         << "every orphan is deleted, and nothing else";
     EXPECT_EQ(simulation.count_keys("open/"), 160u);
     EXPECT_GT(simulation.act_count(Role::scale_out), 20u);
-    // Four pages of runs, those of open records beside them, 27 transactions.
+    // Four pages of run records, the pages of open records for them, and 27 transactions.
     EXPECT_LT(simulation.role_manager(helper).garbage_collector().requests(), 45u);
 }
 
-// The leader cannot reach the cloud: the helper calls it in the leader's name, and the roles return
-// when the partition ends. No two controllers act meanwhile, whatever is under way between them.
+// While the leader cannot reach the cloud, the helper calls it on the leader's behalf. The roles
+// return to the leader when the partition ends. At no time may two controllers act under one role,
+// whatever messages are in flight between them.
 TEST(Roles, AHelperCallsTheCloudWhileTheLeaderCannot) {
     for (std::uint64_t seed = 20; seed < 30 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
@@ -72,22 +74,23 @@
     }
 }
 
-// A controller is back as another process while its former lease lives, while its own claim of
-// leadership or another's is under way, twice in a row, all at once. The leader key vanishes with
-// the old lease at the latest, and nothing that was meant for the former process affects this one.
+// Controllers restart as a new process while their former lease is still valid, while their own or
+// another's claim of leadership is in flight, twice in a row, or all at once. The leader key is
+// deleted with the old lease at the latest, and messages for the former process do not affect the
+// new one.
 TEST(Roles, ControllersThatRestartAtOnceKeepTheRulesOfRoles) {
     std::size_t late = 0;
     for (std::uint64_t seed = 300; seed < 380 && !HasFailure(); ++seed) {
         SCOPED_TRACE(seed);
         ElectionSimulation simulation(seed, 3 + seed % 3);
         simulation.message_loss = seed % 4 == 0 ? 0.02 : 0;
-        // Claims of leadership and revocations of leases are executed late, when the process that
-        // sent them, or its successor under the same name, has claimed anew.
+        // Some claims of leadership and lease revocations are executed late, after the process that
+        // sent them, or its successor with the same name, has made another claim.
         simulation.late_writes = seed >= 340 ? 0.3 : 0;
         simulation.run_until(20'000);
         const auto leader = simulation.leader();
         ASSERT_LT(leader, simulation.size());
-        // Steps of 7 ms, so that the crash meets every phase of the election that follows.
+        // Steps of 7 ms, so that the crash occurs in every phase of the election that follows.
         const auto step = static_cast<Millis>((seed - 300) % 40);
         simulation.crash(leader, 50 + 7 * step);
         simulation.run_until(simulation.now() + 3'900 + 7 * step);
@@ -103,13 +106,13 @@
             without = simulation.leader() == simulation.size() ? without + 100 : without;
         }
         EXPECT_LT(simulation.leader(), simulation.size());
-        // A lease of 4 s, and the election; a claim that is executed late writes the leader key,
-        // which vanishes when its lease ends.
+        // A lease of 4 s and the election. A claim that is executed late writes the leader key,
+        // which is deleted when its lease ends.
         EXPECT_LE(without, simulation.late_writes > 0    ? 12'000
                            : simulation.message_loss > 0 ? 9'000
                                                          : 6'500);
         late += simulation.late_applied();
-        // What is still to be executed late comes within 12 s.
+        // Late requests that are still pending are executed within 12 s.
         const Millis settled = simulation.late_writes > 0 ? 30'000 : 15'000;
         simulation.late_writes = 0;
         simulation.run_until(simulation.now() + settled);
@@ -134,23 +137,23 @@
          [](ElectionSimulation& simulation, std::size_t i) { simulation.freeze(i, 3'000); }},
         {"freeze",
          [](ElectionSimulation& simulation, std::size_t i) { simulation.freeze(i, 12'000); }},
-        {"cut from state",
+        {"partitioned from the state service",
          [](ElectionSimulation& simulation, std::size_t i) {
              simulation.partition(i, ElectionSimulation::Link::state, 20'000, false);
          }},
-        {"cut from state, held",
+        {"partitioned from the state service, messages held",
          [](ElectionSimulation& simulation, std::size_t i) {
              simulation.partition(i, ElectionSimulation::Link::state, 20'000, true);
          }},
-        {"cut from peers",
+        {"partitioned from peers",
          [](ElectionSimulation& simulation, std::size_t i) {
              simulation.partition(i, ElectionSimulation::Link::peers, 20'000, false);
          }},
-        {"cut from peers, held",
+        {"partitioned from peers, messages held",
          [](ElectionSimulation& simulation, std::size_t i) {
              simulation.partition(i, ElectionSimulation::Link::peers, 20'000, true);
          }},
-        {"cut from the cloud",
+        {"partitioned from the cloud",
          [](ElectionSimulation& simulation, std::size_t i) {
              simulation.partition(i, ElectionSimulation::Link::cloud, 20'000, true);
          }},
@@ -181,9 +184,9 @@
     }
 }
 
-// Everything at once, for many seeds: crashes, freezes with running clocks, partitions of every
-// link with messages lost or held, outages. The simulation asserts at every act that nobody else
-// may act.
+// Combines crashes, freezes with running clocks, partitions of every link with messages lost or
+// held, and outages, for many seeds. Whenever a controller acts under a role, the simulation
+// asserts that no other controller may.
 TEST(Roles, NoTwoControllersActUnderOneRoleWhateverFails) {
     std::size_t acts = 0, by_helpers = 0, refused = 0, late = 0;
     for (std::uint64_t seed = 1000; seed < 1060 && !HasFailure(); ++seed) {
@@ -234,19 +237,19 @@
         for (Role role : lease::kAllRoles)
             EXPECT_LT(simulation.role_holder(role), simulation.size()) << name(role);
         EXPECT_EQ(simulation.count_keys("run/"), 120u - orphans)
-            << "left for ever, or deleted while needed";
+            << "an orphan was left, or a needed record deleted";
         for (Role role : lease::kAllRoles) acts += simulation.act_count(role);
         by_helpers += simulation.acts_by_helper();
         refused += simulation.acts_refused();
     }
-    // The simulations exercised what they are for.
+    // Checks that the simulations covered the intended cases.
     EXPECT_GT(acts, 5'000u);
     EXPECT_GT(by_helpers, 200u);
     EXPECT_GT(refused, 2u);
     EXPECT_GT(late, 50u);
 }
 
-// A record that cannot be read is left alone, and nothing else stops.
+// An invalid record is left alone and does not affect other roles.
 TEST(Roles, UnreadableRecordsAreLeftAlone) {
     ElectionSimulation simulation(3, 3);
     simulation.set_key("duty/returning", {{"holder", 7}});
@@ -258,7 +261,7 @@
     EXPECT_LT(simulation.role_holder(Role::garbage_collection), simulation.size());
     EXPECT_EQ(simulation.count_keys("duty/returning"), 1u);
     EXPECT_EQ(simulation.count_keys("run/job-1"), 1u);
-    EXPECT_TRUE(rc::check("intents read back what was written, and nothing from noise", [] {
+    EXPECT_TRUE(rc::check("intents survive a round trip, and damaged records are rejected", [] {
         for (Role role : {Role::scale_out, Role::scale_in}) {
             std::vector<autoscaling::ProvisioningIntent> all;
             const int n = *rc::gen::inRange(0, 20);
