--- a/src/roles/delegated_requests.h
+++ b/src/roles/delegated_requests.h
@@ -25,7 +25,7 @@
     void on_result(const peers::DelegatedResult& result, Millis now);
     /// Completes a request that could not be sent.
     void on_not_sent(std::uint64_t number, Millis now);
-    /// Completes the requests whose results did not arrive in time with `unknown`, because they may
+    /// Completes with `unknown` the requests whose results did not arrive in time, because they may
     /// have been executed.
     void expire(Millis now);
 
--- a/src/roles/garbage_collector.cpp
+++ b/src/roles/garbage_collector.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kPageSize = 100;
 constexpr Millis kPageInterval = 2'000;    // between pages of run records
 constexpr Millis kRoundInterval = 60'000;  // between rounds; garbage is not urgent
-constexpr Millis kRetry = 1'000;  // after a failure, or while the store has no spare budget
+constexpr Millis kRetry = 1'000;           // after a failure, or without spare budget
 constexpr std::uint32_t kPagesPerCursorWrite = 16;
 }  // namespace
 
--- a/src/roles/role_assigner.cpp
+++ b/src/roles/role_assigner.cpp
@@ -81,8 +81,8 @@
 
 void RoleAssigner::apply_records(lease::Role role, const kvstore::ListReply& reply, Millis now) {
     const Entry& known = entry(role);
-    // The reply to this leader's own transaction decides, and the list may be older than its last
-    // transaction.
+    // A transaction of this leader that is in flight is resolved by its own reply, and the list may
+    // be older than this leader's last transaction.
     if (known.state == RoleState::claiming || known.state == RoleState::transferring ||
         reply.revision < known.fence)
         return;
--- a/src/roles/role_assigner.h
+++ b/src/roles/role_assigner.h
@@ -68,7 +68,8 @@
     [[nodiscard]] bool is_leading() const { return lease_id_ != 0; }
     /// Reads records that are unknown or due to be read again, and claims vacant roles.
     void run_due_work(Millis now);
-    /// Handles the failure of a transaction because of the role's fence. The record is read again.
+    /// Handles a transaction that failed because its condition on the role's fence did not hold.
+    /// The record is read again.
     void on_fence_rejected(lease::Role role);
     /// Moves a role that this controller holds to another controller's lease.
     void transfer(lease::Role role, const lease::RoleRecord& to);
--- a/src/roles/role_manager.h
+++ b/src/roles/role_manager.h
@@ -43,7 +43,7 @@
     void start_leading(std::uint64_t term, kvstore::Condition condition, std::uint64_t lease_id,
                        Millis now);
     void stop_leading();
-    /// Handles the failure of a transaction because of the role's fence.
+    /// Handles a transaction that failed because its condition on the role's fence did not hold.
     void on_fence_rejected(lease::Role role) { assigner_.on_fence_rejected(role); }
     /// Sends the helper its assignment. Called every second.
     void send_assignment(Millis now);
@@ -112,8 +112,7 @@
     // Used on a helper.
     HelperLease helper_lease_;
     Millis assigned_until_[lease::kRoleCount] = {};
-    std::uint64_t assigning_term_ =
-        0;  // of the last assignment; assignments of earlier terms are ignored
+    std::uint64_t assigning_term_ = 0;  // of the last assignment; earlier terms are ignored
 };
 
 }  // namespace nickelramp::roles
--- a/tests/roles_test.cpp
+++ b/tests/roles_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Roles in simulations of several controllers with failures. No two controllers act under one
 /// role, each role has a holder soon after any failure, and pending requests of a replaced holder
-/// have no effect.
+/// do no harm.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
