--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -1,5 +1,5 @@
-/// \file
-/// Counters, histograms and gauges of this controller, for Prometheus.
+/// @file
+/// Prometheus counters, histograms and gauges of this controller.
 #pragma once
 #include <prometheus/counter.h>
 #include <prometheus/family.h>
@@ -11,21 +11,22 @@
 
 namespace nickelramp::admin {
 
-/// One per controller process, on the loop's thread. Labels that have not been seen yet are added.
-/// Names and labels are a public interface of the service and must not change.
+/// The metrics of a controller process. Time series for new label values are created on first use.
+/// Metric names and labels are a public interface of the service and must not change. To be used on
+/// the loop's thread only.
 class Metrics {
   public:
     Metrics();
 
-    /// A user's request was answered with this HTTP status, after so many milliseconds.
+    /// Records the response to a user's request: its HTTP status and the time it took.
     void record_answer(const char* request, int status, double milliseconds);
-    /// A job's first attempt runs, so many seconds after the job was accepted.
+    /// Records the time from a job's acceptance until its first attempt runs.
     void record_start(const std::string& job_class, double seconds);
-    /// A job has ended, so many seconds after it was accepted.
+    /// Records the time from a job's acceptance to its end.
     void record_finish(const std::string& job_class, double seconds);
     /// Sets `nickelramp_now{of=name, state=label}`.
     void set_gauge(const char* name, const std::string& label, double value);
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
   private:
--- a/src/admin/options.cpp
+++ b/src/admin/options.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Not a number for anything but numbers and booleans.
+// Returns NaN for anything except numbers and booleans.
 double as_number(const wire::Json& value) {
     if (value.is_boolean()) return value.get<bool>() ? 1 : 0;
     return value.is_number() ? value.get<double>() : NAN;
@@ -67,7 +67,7 @@
     for (const Option& option : all_options()) {
         const wire::Json* value = wire::field(record, option.name);
         if (value == nullptr) continue;
-        // A value that is not allowed leaves the default.
+        // The default is kept if the stored value is not allowed.
         static_cast<void>(set_option(options, option, *value));
     }
     return options;
--- a/src/admin/request_handler.cpp
+++ b/src/admin/request_handler.cpp
@@ -38,7 +38,7 @@
 
 net::Response store_unavailable() { return {kUnavailable, "", kRetryAfterSeconds, kJsonType}; }
 
-net::Response bad_value(const Option& option, const std::string& message) {
+net::Response invalid_value(const Option& option, const std::string& message) {
     return json(
         kBadRequest,
         {{"error", message}, {"field", "value"}, {"least", option.min}, {"most", option.max}});
@@ -55,8 +55,6 @@
 
 void AdminRequestHandler::start() { read_options_record(); }
 
-// --- requests
-
 bool AdminRequestHandler::handle(const net::Request& request, const net::Responder& responder) {
     if (!starts_with(request.path, kPathPrefix)) return false;
     if (starts_with(request.path, kSettingPrefix)) {
@@ -103,19 +101,17 @@
     const Json body = Json::parse(request.body, nullptr, false);
     const Json* value = wire::field(body, "value");
     if (value == nullptr) {
-        responder.send(bad_value(option, "value is missing"));
+        responder.send(invalid_value(option, "value is missing"));
         return;
     }
     Options trial;
     if (const auto error = set_option(trial, option, *value)) {
-        responder.send(bad_value(option, error->message()));
+        responder.send(invalid_value(option, error->message()));
         return;
     }
     write_option(option, *value, kMaxWriteAttempts, responder);
 }
 
-// --- the stored settings
-
 void AdminRequestHandler::apply_options(const Options& options) {
     options_ = options;
     backend_.on_options_changed(options_);
@@ -154,8 +150,8 @@
         });
 }
 
-// Changes one setting and leaves the others as they are stored: reads the record, then writes it on
-// condition that it has not changed meanwhile.
+// Changes one setting in the stored record by a compare-and-swap: reads the record, then writes it
+// on condition that it has not changed since.
 void AdminRequestHandler::write_option(const Option& option, const Json& value, int attempts_left,
                                        const net::Responder& responder) {
     store_client_.get(
@@ -174,7 +170,7 @@
                                         const net::Responder& responder) {
     const bool exists = stored.status == kvstore::Status::ok;
     Options options = exists ? read_options(stored.entry.value) : Options{};
-    // Checked when the request came.
+    // The value was validated when the request was received.
     static_cast<void>(set_option(options, option, value));
     kvstore::Transaction transaction;
     transaction.conditions = {{kOptionsKey, exists ? stored.entry.version : 0}};
--- a/src/admin/request_handler.h
+++ b/src/admin/request_handler.h
@@ -1,14 +1,16 @@
-/// \file
-/// The administration API, on the users' address under `/admin/`. Bodies are JSON.
+/// @file
+/// The administration API. It is served under `/admin/` at the address for users. All bodies are
+/// JSON except the metrics.
 ///
-/// - `GET /admin/status`: who leads; on the leader also machines, shards, waiting and late jobs
-/// - `GET /admin/metrics`: Prometheus text
+/// - `GET /admin/status`: the current leader; on the leader also machines, shards, waiting and late
+///   jobs
+/// - `GET /admin/metrics`: metrics in the Prometheus text format
 /// - `GET /admin/settings`: the operators' settings
-/// - `GET /admin/settings/{name}`: the value of one
-/// - `PUT /admin/settings/{name}` with `{"value": ...}`: stored, and in force at all controllers
+/// - `GET /admin/settings/{name}`: the value of one setting
+/// - `PUT /admin/settings/{name}` with `{"value": ...}`: stores a new value, which takes effect at
+///   all controllers
 ///
-/// Drain plans, where they are enabled, have a request handler of their own
-/// (drain/request_handler.h).
+/// Drain plans, if enabled, have a separate request handler (drain/request_handler.h).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -21,23 +23,24 @@
 
 namespace nickelramp::admin {
 
-/// The key of the stored settings.
+/// The key of the stored settings in the key-value store.
 inline constexpr const char* kOptionsKey = "admin/settings";
 
-/// Answers operators' requests, and follows the stored settings. A failed read of the settings is
-/// repeated after a pause; those that were last read stay in force meanwhile. A failed write is
-/// answered with 503. Runs on the loop's thread.
+/// Handles operators' requests and watches the stored settings. A failed read of the settings is
+/// retried after a delay, and until then the settings that were last read stay in force. A failed
+/// write is answered with 503. Runs on the loop's thread.
 class AdminRequestHandler {
   public:
-    /// What the handler needs of the controller. Implemented by controller::Controller.
+    /// The part of the controller that the handler uses. Implemented by controller::Controller.
     class Backend {
       public:
         virtual ~Backend() = default;
-        /// The status page.
+        /// Returns the status page.
         [[nodiscard]] virtual wire::Json status() const = 0;
-        /// Brings the gauges of the metrics up to date.
+        /// Updates the gauges of the metrics.
         virtual void update_gauges() = 0;
-        /// The settings were read, or changed through this controller; they may be the same.
+        /// Called when the settings have been read or were changed through this controller. Their
+        /// values may be the same as before.
         virtual void on_options_changed(const Options& options) = 0;
     };
 
@@ -45,11 +48,12 @@
     AdminRequestHandler(uv_loop_t* loop, kvstore::Client& store_client, Metrics& metrics,
                         Backend& backend);
 
-    /// Follows the stored settings from now on. Called once.
+    /// Starts to read and watch the stored settings. Called once.
     void start();
-    /// Answers the request, now or later. False if its path is not of this API.
+    /// Handles the request. The response may be sent after the call. Returns false if the path does
+    /// not belong to this API.
     [[nodiscard]] bool handle(const net::Request& request, const net::Responder& responder);
-    /// The settings in force; the defaults until they have been read.
+    /// Returns the settings in force. These are the defaults until the record has been read.
     [[nodiscard]] const Options& options() const { return options_; }
 
   private:
@@ -72,7 +76,7 @@
     Backend& backend_;
     net::Timer retry_timer_;
     Options options_;
-    std::uint64_t revision_ = 0;  // up to which changes of the record have been read
+    std::uint64_t revision_ = 0;  // the revision up to which changes of the record have been read
 };
 
 }  // namespace nickelramp::admin
