--- a/src/api/job_admission.cpp
+++ b/src/api/job_admission.cpp
@@ -57,8 +57,8 @@
         zones.insert(type.zones.begin(), type.zones.end());
     }
     if (!fits) return Unschedulable::no_machine_type;
-    // Tasks of an array or a service can run in one zone while the others run later or never. A gang
-    // must run as a whole.
+    // Part of an array or a service can run in one zone while the rest runs later or never. All
+    // tasks of a gang must run together.
     const bool in_one_zone = spec.one_zone || spec.zone || zones.size() < 2;
     if (spec.shape == wire::Shape::gang && spec.spread && spec.tasks > 1 && in_one_zone)
         return Unschedulable::needs_more_zones;
--- a/src/api/job_request_handler.cpp
+++ b/src/api/job_request_handler.cpp
@@ -184,7 +184,7 @@
                               request, success(kCreated, wire::encode_job_answer(
                                                              request.job_id, JobStatus::pending)));
                       else if (reply.status == kvstore::Status::conflict)
-                          respond_with_status(request, no_such_job());  // the job was submitted before
+                          respond_with_status(request, no_such_job());  // submitted before
                       else
                           respond_to_submission(request, try_again());
                   });
