--- a/tests/simulated_users.h
+++ b/tests/simulated_users.h
@@ -214,9 +214,9 @@
         });
     }
 
-    // Simulates the leader by ending jobs at random intervals. A job does not end if its open record
-    // has changed since it was read. Some jobs are cancelled at about the same time, and each ended
-    // job is checked.
+    // Simulates the leader by ending jobs at random intervals. A job does not end if its open
+    // record has changed since it was read. Some jobs are cancelled at about the same time, and
+    // each ended job is checked.
     void end_random_job() {
         store.at(store.now + store.random_delay(60), [this] { end_random_job(); });
         const auto open = store.keys.lower_bound("open/job-" + std::to_string(store.random() % 10));
