--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 constexpr int kMaxDepth = 32;
-// Shorter bodies cannot nest deeply enough to do harm, and skip the check.
+// Bodies up to this size cannot nest deeply enough to overflow the stack and are not checked.
 constexpr std::size_t kMaxUncheckedBytes = 2048;
 
-// Refuses bodies that nest deeply. The library's reader recurses once a level: a body made of
-// opening brackets only would overflow the stack and end the process.
+// Rejects bodies that are nested too deeply. The library's reader recurses once per level, so a
+// body that consists of opening brackets only would overflow the stack and crash the process.
 struct DepthCheck : nlohmann::json_sax<Json> {
     int depth = 0;
     bool enter() { return ++depth <= kMaxDepth; }
@@ -44,7 +44,8 @@
         DepthCheck check;
         if (!Json::sax_parse(body, &check, Json::input_format_t::cbor)) return std::nullopt;
     }
-    // The library throws for lengths beyond all memory, although it is asked not to throw.
+    // The library throws if a length in the body exceeds the available memory, even with exceptions
+    // disabled by the last argument.
     try {
         Json value = Json::from_cbor(body, true, false);
         if (value.is_object()) return value;
@@ -56,7 +57,7 @@
 
 bool is_plain_json(const Json& decoded) {
     if (decoded.is_structured()) return std::all_of(decoded.begin(), decoded.end(), is_plain_json);
-    // A negative integer of CBOR that has become a positive one.
+    // A negative CBOR integer below -2^63, which the library has wrapped to a positive value.
     const bool wrapped = decoded.is_number_integer() && !decoded.is_number_unsigned() &&
                          decoded.get<std::int64_t>() >= 0;
     return !decoded.is_binary() && !wrapped;
--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -1,6 +1,6 @@
 /// @file
-/// CBOR bodies, read and written by nlohmann's library, and checked access to the fields of decoded
-/// messages. Used by all modules that read or write messages, records or pages.
+/// Encoding and decoding of CBOR bodies with nlohmann::json, and checked access to the fields of
+/// decoded messages. Used by all modules that read or write messages, records or pages.
 #pragma once
 #include <cmath>
 #include <cstddef>
@@ -13,29 +13,31 @@
 
 using Json = nlohmann::json;
 
-/// The value as CBOR.
+/// Returns the value encoded as CBOR.
 std::string encode(const Json& value);
 
-/// The map in a CBOR body. Nothing if the body is not CBOR, nests too deeply, has bytes left over
-/// or is no map.
+/// Decodes a CBOR body that holds a map. Returns std::nullopt if the body is not valid CBOR, is
+/// nested too deeply, has trailing bytes or does not hold a map.
 std::optional<Json> decode_map(const std::string& body);
 
-/// False if a decoded value has binary data, which JSON cannot hold, or had an integer below -2^63,
-/// which the library wraps to a positive one.
+/// Returns whether JSON can represent a decoded value. This is not the case if it contains binary
+/// data, or contained an integer below -2^63, which the library wraps to a positive one.
 bool is_plain_json(const Json& decoded);
 
-/// The value's size in bytes as JSON, by which the key-value store limits values. Nothing if a text
-/// is not UTF-8.
+/// Returns the size in bytes of the value as JSON, to which the key-value store's size limit
+/// applies. Returns std::nullopt if a string is not valid UTF-8.
 std::optional<std::size_t> json_size(const Json& value);
 
-/// Fields of a map. Each gives nothing if the field is absent or null, or is not of that type, or
-/// if `map` is no map.
+/// Returns a field of a map, or nullptr if the field is absent or null or `map` is not a map. The
+/// functions below return std::nullopt in these cases, and if the field has another type.
 const Json* field(const Json& map, const char* name);
+/// Returns a string field.
 std::optional<std::string> text_field(const Json& map, const char* name);
-/// A number, finite and at least 0.
+/// Returns a number field that is finite and at least 0.
 std::optional<double> amount_field(const Json& map, const char* name);
-/// An integer of at least 0.
+/// Returns an integer field that is at least 0.
 std::optional<std::uint64_t> count_field(const Json& map, const char* name);
+/// Returns a Boolean field.
 std::optional<bool> flag_field(const Json& map, const char* name);
 
 }  // namespace nickelramp::wire
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -12,9 +12,9 @@
 namespace names = field_names;
 
 constexpr std::array<const char*, 3> kInstanceStatuses{"booting", "running", "failed"};
-constexpr double kDefaultFetchRate = 1;  // GB a second
+constexpr double kDefaultFetchRate = 1;  // GB per second
 
-// The field if it is a list.
+// Returns the field if it is a list, otherwise nullptr.
 const Json* list_field(const Json& body, const char* name) {
     const Json* list = field(body, name);
     return list != nullptr && list->is_array() ? list : nullptr;
--- a/src/wire/cloud_messages.h
+++ b/src/wire/cloud_messages.h
@@ -1,5 +1,6 @@
 /// @file
-/// Messages of the cloud: machine types, instances, and requests to provision and release them.
+/// Messages exchanged with the cloud: machine types, instances, and requests to provision and
+/// release instances.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,21 +11,21 @@
 
 namespace nickelramp::wire {
 
-/// A type of machine that the cloud offers. Prices are for an hour.
+/// A machine type that the cloud offers. Prices are per hour.
 struct MachineType {
     std::string name;
     double cpus = 0, gpus = 0, memory_gb = 0;
-    /// Room for images, and how fast they arrive.
+    /// Size of the image cache in GB, and the rate at which images are fetched in GB per second.
     double cache_gb = 0, fetch_gb_per_s = 0;
     double price = 0, spot_price = 0;
-    /// Seconds that a new machine takes to boot.
+    /// Boot time of a new machine in seconds.
     double boot_s = 0;
     std::vector<std::string> zones;
 };
 
-/// Nothing if any type lacks a field that is needed, or there are no types.
+/// Returns std::nullopt if there are no types or any type lacks a required field.
 std::optional<std::vector<MachineType>> decode_machine_types(const Json& body);
-/// In the cloud's own form; also that of the record in the key-value store.
+/// Encodes machine types in the cloud's format, which the record in the key-value store uses too.
 Json encode_machine_types(const std::vector<MachineType>& types);
 
 enum class InstanceStatus : std::uint8_t { booting, running, failed };
@@ -34,24 +35,26 @@
     std::string id, address, type, zone;
     bool spot = false;
     InstanceStatus status = InstanceStatus::booting;
-    /// Seconds, as the cloud counts them.
+    /// Age in seconds according to the cloud.
     double age_s = 0;
 };
 
+/// One page of the cloud's list of instances.
 struct InstancePage {
     std::vector<CloudInstance> instances;
-    /// Further pages follow.
+    /// Whether further pages follow.
     bool more = false;
 };
 
-/// Nothing if any instance lacks its id or status.
+/// Returns std::nullopt if the list is missing or any instance lacks its id or status.
 std::optional<InstancePage> decode_instance_page(const Json& body);
 
-/// `request` is the name of the request, under which it is on record.
+/// Encodes a request to provision `count` machines.
+/// @param request name under which the request is recorded
 std::string encode_provision_request(const std::string& request, const std::string& type,
                                      const std::string& zone, bool spot, std::uint32_t count);
 std::string encode_release_request(const std::vector<std::string>& machines);
-/// The names of the new machines; nothing if the body cannot be read.
+/// Returns the names of the new machines, or std::nullopt if the reply is invalid.
 std::optional<std::vector<std::string>> decode_provision_reply(const Json& body);
 
 }  // namespace nickelramp::wire
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,11 +1,11 @@
 /// @file
-/// The field names of the protocol, which differ from the names of this code (docs/glossary.md).
-/// They are mapped here, once; used by the sources of this module only.
+/// Field names of the protocol that differ from the names used in the code (docs/glossary.md). This
+/// is the only place that maps them, and only this module's sources use it.
 #pragma once
 
 namespace nickelramp::wire::field_names {
 
-// Of several messages.
+// Fields of several messages.
 inline constexpr const char* kMachineType = "rig";
 inline constexpr const char* kZone = "yard";
 inline constexpr const char* kSpot = "standby";
@@ -14,7 +14,7 @@
 inline constexpr const char* kGpus = "cards";
 inline constexpr const char* kMachineTypes = "rigs";
 
-// Of jobs.
+// Fields of job specifications.
 inline constexpr const char* kJobClass = "jobclass";
 inline constexpr const char* kTeam = "crew";
 inline constexpr const char* kPriority = "urgency";
@@ -26,7 +26,7 @@
 inline constexpr const char* kCheckpointDuration = "save_cost_s";
 inline constexpr const char* kDeadline = "due_s";
 
-// Of heartbeats, heartbeat replies and commands.
+// Fields of heartbeats, heartbeat replies, commands and redirects.
 inline constexpr const char* kMachine = "host";
 inline constexpr const char* kIncarnation = "shift";
 inline constexpr const char* kSequence = "tick";
@@ -40,7 +40,7 @@
 inline constexpr const char* kGracePeriod = "wind_down_s";
 inline constexpr const char* kLeader = "boss";
 
-// Of the cloud.
+// Fields of cloud messages.
 inline constexpr const char* kInstances = "hosts";
 inline constexpr const char* kProvisionRequest = "hire";
 inline constexpr const char* kCacheSize = "local_gb";
