--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -20,13 +20,13 @@
 constexpr std::size_t kJobIdPrefixLength = 4;
 constexpr std::size_t kMaxJobIdLength = 40;
 
-// In the order of the enumerators; "sweep" and so on are the protocol's words.
+// Names in the protocol, in the order of the enumerators.
 constexpr std::array<const char*, 3> kShapes{"sweep", "ensemble", "standing"};
 constexpr std::array<const char*, 4> kPriorities{"best_effort", "normal", "urgent", "prod"};
 constexpr std::array<const char*, 4> kStatuses{"pending", "running", "done", "withdrawn"};
 
-// Reads the fields of a submission one by one and remembers the first invalid one. An invalid field
-// reads as empty, zero or false.
+// Reads the fields of a submission one by one and records the first invalid one. Reading an invalid
+// field returns an empty, zero or false value.
 class JobFieldReader {
   public:
     explicit JobFieldReader(const Json& body) : body_(body) {}
@@ -66,7 +66,7 @@
         mark_invalid(names::kTasks);
         return 0;
     }
-    // The texts of a list that is present.
+    // Returns the strings of a list field. The field must be present.
     std::vector<std::string> texts(const char* name) {
         const Json* list = field(body_, name);
         std::vector<std::string> values;
@@ -101,7 +101,8 @@
     return id.find_first_not_of("0123456789", kJobIdPrefixLength) == std::string::npos;
 }
 
-// In the protocol's order of fields: users are told the first that is invalid.
+// Reads the fields in the order in which the protocol lists them, so that the error names the first
+// invalid one.
 Result<JobSpec, JobSpecError> parse_job(const Json& body) {
     JobFieldReader reader(body);
     JobSpec spec;
--- a/src/wire/job_messages.h
+++ b/src/wire/job_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Messages of users: job specifications, and what they are told of their jobs.
+/// Messages exchanged with users: job specifications and replies on the status of jobs.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -11,13 +11,15 @@
 
 namespace nickelramp::wire {
 
-/// array: independent tasks; gang: tasks that run all at once or not at all; service: replicas that
-/// run until they are cancelled.
-enum class Shape : std::uint8_t { array, gang, service };
-/// From the lowest to the highest.
+enum class Shape : std::uint8_t {
+    array,   ///< independent tasks
+    gang,    ///< tasks that run all at the same time or not at all
+    service  ///< replicas that run until the job is cancelled
+};
+/// Priorities of jobs in ascending order.
 enum class Priority : std::uint8_t { low, normal, high, production };
 
-/// What a user asks for. Resources are those of one task.
+/// A job as its user specifies it. Resources are per task.
 struct JobSpec {
     std::string id;
     std::string job_class;
@@ -26,48 +28,50 @@
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
     double cpus = 0, gpus = 0, memory_gb = 0;
-    /// False: only on machines of the listed types, of which there may be none.
+    /// Whether all machine types are allowed. If false, only those in `types` are, which may be
+    /// empty.
     bool any_type = true;
     std::vector<std::string> types;
     std::optional<std::string> zone;
-    /// All tasks in one zone; tasks distributed over zones; spot machines allowed.
+    /// Whether all tasks must run in one zone, whether tasks are distributed over zones, and
+    /// whether spot machines are allowed.
     bool one_zone = false, spread = false, spot = false;
     std::string image;
     double image_gb = 0;
-    /// The user's estimate of a task's run time, in seconds; 0: none.
+    /// The user's estimate of a task's run time in seconds, or 0 if there is none.
     double estimate_s = 0;
-    /// Interval between checkpoints of a task, and how long one takes, in seconds.
+    /// Interval between a task's checkpoints and duration of a checkpoint, in seconds.
     double checkpoint_s = 0, save_s = 0;
-    /// Seconds from submission.
+    /// Seconds after the submission.
     std::optional<double> deadline_s;
 };
 
-/// "job-" and digits, 40 bytes at the most.
+/// Returns whether an id consists of "job-" and at least one digit, at most 40 bytes in total.
 bool valid_job_id(const std::string& id);
 
-/// The first field of a submission that is missing or has a value that is not allowed.
+/// The first missing or invalid field of a submission.
 struct JobSpecError {
-    /// By its name in the protocol.
+    /// The field's name in the protocol.
     std::string field;
 
-    /// For users.
+    /// Returns the message for the user.
     std::string message() const { return "missing or invalid: " + field; }
 };
 
-/// Reads a job specification. Unknown fields are ignored. Used for submissions, for the records of
+/// Reads a job specification and ignores unknown fields. Used for submissions, for the records of
 /// open jobs and by nickelrampctl.
 Result<JobSpec, JobSpecError> parse_job(const Json& body);
 
 enum class JobStatus : std::uint8_t { pending, running, done, cancelled };
-/// Numbers of tasks of a job.
+/// Numbers of a job's tasks by state.
 struct TaskCounts {
     std::uint64_t done = 0, running = 0;
 };
 
-/// The status of a job as users are told it; with the counts where they are known.
+/// Encodes the status of a job for its user, with the task counts if they are known.
 Json encode_job_answer(const std::string& id, JobStatus status,
                        const std::optional<TaskCounts>& counts = std::nullopt);
-/// The status's text in the protocol and in job records.
+/// Returns the name of a status in the protocol and in job records.
 const char* final_name(JobStatus status);
 
 }  // namespace nickelramp::wire
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// All messages of users, workers and the cloud. Includes the headers by concern.
+/// Includes the headers of all messages exchanged with users, workers and the cloud.
 #pragma once
 #include "wire/cloud_messages.h"
 #include "wire/job_messages.h"
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMinTransactionOperations = 4;
 constexpr std::size_t kMinSockets = 64;
 
-// Keeps the first fault of a file; those after it may be its consequences.
+// Records the first error of a settings file. Later errors may be consequences of the first one.
 class FirstError {
   public:
     void add(std::string field, std::string reason) {
@@ -26,7 +26,8 @@
     std::optional<SettingsError> error_;
 };
 
-// Reads the fields of one map of the file. After a fault the values are empty or zero.
+// Reads the fields of one map of the file and records an error for each missing or invalid one. The
+// value returned for such a field must not be used.
 class MapReader {
   public:
     MapReader(const Json& map, std::string path, FirstError& errors)
@@ -40,7 +41,8 @@
         static const Json empty = Json::object();
         return nested(empty, name);
     }
-    // Items that are no maps have no fields.
+    // Returns a reader for each item of a list. An item that is not a map reads as a map without
+    // fields.
     std::vector<MapReader> maps(const char* name) const {
         std::vector<MapReader> readers;
         for (const Json& item : list(name)) readers.push_back(nested(item, name));
@@ -148,7 +150,7 @@
     if (!facts.has("objectives")) return objectives;
     for (const MapReader& reader : facts.maps("objectives")) {
         const auto kind = objective_kind(reader.text("kind"));
-        if (!kind) continue;  // of a later version
+        if (!kind) continue;  // a kind of a later version
         Objective objective;
         objective.kind = *kind;
         objective.job_class = reader.optional_text("class");
@@ -200,7 +202,7 @@
 
 }  // namespace
 
-// Fields are read in a fixed order: the operator is told the first that is at fault.
+// Reads the fields in a fixed order, so that the error names the same field for the same file.
 Result<Settings, SettingsError> parse_settings(const std::string& text) {
     const Json content = Json::parse(text, nullptr, false);
     if (!content.is_object()) return SettingsError{"the file", "must hold a JSON map"};
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -1,5 +1,6 @@
 /// @file
-/// The settings file of a controller, which the platform provides: JSON, read once at the start.
+/// A controller's settings file. It is JSON, is provided by the platform and is read once at
+/// startup.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -9,18 +10,18 @@
 
 namespace nickelramp::wire {
 
-/// Another controller. Addresses are IPv4 with a port, as net::parse_address reads them.
+/// Another controller. Addresses in this file are IPv4 with a port, as read by net::parse_address.
 struct Peer {
     std::string name, zone, address;
 };
 
-/// A team's guaranteed quota and quota (`_max`); 0: no guarantee, no limit.
+/// A team's guaranteed resources and its quota (`_max`). 0 means no guarantee or no limit.
 struct Team {
     std::string name;
     double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 
-/// A service-level objective for jobs of a class; an empty class stands for all.
+/// A service-level objective for jobs of a class. An empty class stands for all classes.
 struct Objective {
     enum class Kind { wait, finished, deadline, guarantee };
     Kind kind = Kind::wait;
@@ -29,44 +30,44 @@
 };
 
 struct Settings {
-    /// Of this controller: its name and zone, and the addresses that it serves users and workers,
-    /// and peers, on.
+    /// Name and zone of this controller, its listen address for users and workers, and its listen
+    /// address for peers.
     std::string name, zone, listen, peer_listen;
     std::vector<Peer> peers;
-    /// Addresses.
+    /// Addresses of the cloud and of the key-value store.
     std::string cloud, state_service;
     std::vector<std::string> zones;
     std::vector<Team> teams;
     std::vector<Objective> objectives;
-    /// Of workers, in seconds: interval of heartbeats, duration of leases, how long a gang's tasks
-    /// wait for each other, how long one runs on without the others, and within what time a
-    /// cancellation is to be final (above the lease).
+    /// Timing of workers in seconds: the heartbeat interval, the lease duration, how long a gang's
+    /// tasks wait for each other, how long a task keeps running without the others of its gang, and
+    /// the time within which a cancellation must be final (longer than the lease).
     double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-    /// Limits of the key-value store, for all controllers together: requests and writes a second,
-    /// size of a value, and operations of a transaction (at least 4).
+    /// Limits of the key-value store, shared by all controllers: requests and writes per second,
+    /// size of a value, and operations per transaction (at least 4).
     double state_requests_per_s = 0, state_writes_per_s = 0, state_value_kb = 0;
     std::size_t state_txn_ops = 0;
-    /// Limits of the cloud: calls a second, and the age in seconds that its lists may have.
+    /// Limits of the cloud: calls per second, and the maximum age of its instance lists in seconds.
     double cloud_requests_per_s = 0, cloud_list_lag_s = 0;
-    /// Limits of this process: share of a CPU, memory, and sockets (at least 64).
+    /// Limits of this process: share of a CPU, memory, and number of sockets (at least 64).
     double cpu_share = 1, memory_mb = 0;
     std::size_t max_sockets = 0;
     double time_bound_ms = 0;
 };
 
-/// The first fault of a settings file.
+/// The first error of a settings file.
 struct SettingsError {
-    /// With its path, such as "facts.state.rps"; "the file" if the text is no JSON map.
+    /// Path of the field, such as "facts.state.rps", or "the file" if the text is not a JSON map.
     std::string field;
-    /// What is required, such as "must be a map".
+    /// The violated requirement, such as "must be a map".
     std::string reason;
 
-    /// For the operator who starts the controller.
+    /// Returns the message for the operator who starts the controller.
     std::string message() const { return "settings: " + field + " " + reason; }
 };
 
-/// Reads a settings file. Unknown fields, and objectives of unknown kinds, are ignored. Called once
-/// by the controller's main function.
+/// Reads a settings file and ignores unknown fields and objectives of unknown kinds. Called once by
+/// the controller's main function.
 Result<Settings, SettingsError> parse_settings(const std::string& text);
 
 }  // namespace nickelramp::wire
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -13,14 +13,15 @@
 
 namespace names = field_names;
 
-// In the order of the enumerators; the protocol's words.
+// Names in the protocol, in the order of the enumerators.
 constexpr std::array<const char*, 5> kPhases{"fetching", "gathering", "running", "saving",
                                              "exited"};
 constexpr std::array<const char*, 9> kCauses{"",      "done", "stopped", "mates_gone", "incomplete",
                                              "error", "full", "busy",    "no_such"};
 constexpr std::array<const char*, 3> kOperations{"start", "stop", "forget"};
 
-// "job-000412/3" is task 3 of job-000412. False if it is no name of a task.
+// Reads the job and the task number from a task name. "job-000412/3" is task 3 of job-000412.
+// Returns whether the name is valid.
 bool parse_task_name(const std::string& name, TaskReport& report) {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos) return false;
