--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,5 @@
-// IPv4 addresses as the settings and workers write them: "10.0.0.1:8080".
+/// @file
+/// Parsing of IPv4 addresses with a port, as used in settings and by workers.
 #pragma once
 #include <uv.h>
 
@@ -7,6 +8,7 @@
 
 namespace nickelramp::net {
 
+/// Parses an address such as "10.0.0.1:8080". Returns std::nullopt if it is invalid.
 std::optional<sockaddr_in> parse_address(const std::string& text);
 
 }  // namespace nickelramp::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -11,10 +11,10 @@
 namespace nickelramp::net {
 
 namespace {
-constexpr std::size_t kMaxHeader = 256;  // longer ones are none that are read
-constexpr std::size_t kMaxReply = 8 * 1024 * 1024;
+constexpr std::size_t kMaxHeaderFieldBytes = 256;  // the only header that is read is shorter
+constexpr std::size_t kMaxReplyBytes = 8 * 1024 * 1024;
 constexpr Millis kConnectTimeout = 1500;
-constexpr Millis kExpiryStep = 50;
+constexpr Millis kExpiryCheckInterval = 50;
 }  // namespace
 
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
@@ -29,8 +29,9 @@
     void connect(HttpClient::Pending first) {
         take(std::move(first));
         connect_deadline_ = static_cast<Millis>(uv_now(client_->loop_)) + kConnectTimeout;
-        fail_soon_ = !stream_.connect(weak_from_this(), client_->address_,
-                                      [](ClientConnection& c, int status) { c.connected(status); });
+        fail_at_next_check_ =
+            !stream_.connect(weak_from_this(), client_->address_,
+                             [](ClientConnection& c, int status) { c.connected(status); });
     }
 
     void send(HttpClient::Pending next) {
@@ -38,9 +39,10 @@
         write();
     }
 
-    // Called now and then by the client.
+    // Fails the request if its deadline or the connect timeout has passed, or if it could not be
+    // sent. Called periodically by the client.
     void check(Millis now) {
-        if (fail_soon_ || (state_ == State::connecting && now >= connect_deadline_)) {
+        if (fail_at_next_check_ || (state_ == State::connecting && now >= connect_deadline_)) {
             finish_failed(ClientReply::Outcome::refused);
         } else if ((state_ == State::connecting || state_ == State::waiting) && now >= deadline_) {
             finish_failed(state_ == State::connecting ? ClientReply::Outcome::refused
@@ -55,7 +57,7 @@
     }
 
     void on_bytes(const char* data, ssize_t n) {
-        if (state_ == State::idle) {  // closed by the server, or talking out of turn
+        if (state_ == State::idle) {  // the server closed the connection or sent unrequested data
             close();
             client_->remove_connection(this);
             return;
@@ -85,7 +87,7 @@
         bytes_ = std::move(p.bytes);
         deadline_ = p.deadline;
         done_ = std::move(p.on_reply);
-        may_ = std::move(p.may_send);
+        may_send_ = std::move(p.may_send);
         reply_ = ClientReply{};
         complete_ = in_value_ = false;
         header_.clear();
@@ -105,8 +107,8 @@
 
     void write() {
         set_state(State::waiting);
-        if (may_ && !may_()) {
-            fail_soon_ = true;  // at the next check: nothing was sent
+        if (may_send_ && !may_send_()) {
+            fail_at_next_check_ = true;  // as refused, because nothing was sent
             return;
         }
         const bool sent = stream_.write(weak_from_this(), std::move(bytes_),
@@ -115,7 +117,7 @@
                                                 c.finish_failed(ClientReply::Outcome::unknown);
                                             }
                                         });
-        if (!sent) deadline_ = 0;  // fails at the next check
+        if (!sent) deadline_ = 0;  // fails at the next check, with outcome unknown
     }
 
     static const http_parser_settings& settings() {
@@ -123,11 +125,11 @@
             http_parser_settings s;
             http_parser_settings_init(&s);
             s.on_header_field = [](http_parser* p, const char* at, std::size_t len) {
-                if (p->status_code < 400) return 0;  // only refusals say when to come back
+                if (p->status_code < 400) return 0;  // Retry-After is read from error replies only
                 auto* c = static_cast<ClientConnection*>(p->data);
                 if (c->in_value_) c->header_.clear();
                 c->in_value_ = false;
-                if (c->header_.size() + len <= kMaxHeader) c->header_.append(at, len);
+                if (c->header_.size() + len <= kMaxHeaderFieldBytes) c->header_.append(at, len);
                 return 0;
             };
             s.on_header_value = [](http_parser* p, const char* at, std::size_t len) {
@@ -135,7 +137,7 @@
                 auto* c = static_cast<ClientConnection*>(p->data);
                 if (!c->in_value_) c->value_.clear();
                 c->in_value_ = true;
-                if (c->value_.size() + len <= kMaxHeader) c->value_.append(at, len);
+                if (c->value_.size() + len <= kMaxHeaderFieldBytes) c->value_.append(at, len);
                 if (strcasecmp(c->header_.c_str(), "Retry-After") == 0) {
                     std::from_chars(c->value_.data(), c->value_.data() + c->value_.size(),
                                     c->reply_.retry_after_s);
@@ -145,7 +147,7 @@
             s.on_body = [](http_parser* p, const char* at, std::size_t len) {
                 auto* c = static_cast<ClientConnection*>(p->data);
                 c->reply_.body.append(at, len);
-                return c->reply_.body.size() > kMaxReply ? 1 : 0;
+                return c->reply_.body.size() > kMaxReplyBytes ? 1 : 0;
             };
             s.on_message_complete = [](http_parser* p) {
                 auto* c = static_cast<ClientConnection*>(p->data);
@@ -190,11 +192,11 @@
     std::string bytes_;
     Millis deadline_ = 0;
     Millis connect_deadline_ = 0;
-    bool fail_soon_ = false;
+    bool fail_at_next_check_ = false;
     HttpClient::Done done_;
-    HttpClient::MaySend may_;
+    HttpClient::MaySend may_send_;
     ClientReply reply_;
-    std::string header_, value_;  // the one that is being read
+    std::string header_, value_;  // of the header that is being read
     bool in_value_ = false;
     bool complete_ = false;
     bool keep_alive_ = true;
@@ -225,12 +227,12 @@
                         "\r\nContent-Length: " + std::to_string(body.size()) +
                         "\r\nContent-Type: application/cbor\r\n\r\n" + body;
     Millis deadline = static_cast<Millis>(uv_now(loop_)) + timeout;
-    if (queue_.size() >= max_queue_) deadline = 0;  // refused at the next turn
+    if (queue_.size() >= max_queue_) deadline = 0;  // refused when the timer next fires
     queue_.push_back({std::move(bytes), deadline, std::move(done), std::move(may)});
     if (!uv_is_active(reinterpret_cast<uv_handle_t*>(timer_))) {
         uv_timer_start(
             timer_, [](uv_timer_t* t) { static_cast<HttpClient*>(t->data)->expire_queued(); },
-            deadline == 0 ? 0 : kExpiryStep, kExpiryStep);
+            deadline == 0 ? 0 : kExpiryCheckInterval, kExpiryCheckInterval);
     }
     send_queued();
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,6 @@
-// HTTP/1.1 client to one address: a few keep-alive connections, requests queued behind them.
+/// @file
+/// HTTP/1.1 client for one server address. It uses a limited number of keep-alive connections and
+/// queues further requests.
 #pragma once
 #include <uv.h>
 
@@ -13,13 +15,15 @@
 namespace nickelramp::net {
 
 struct ClientReply {
-    // `refused`: nothing reached the server. `unknown`: the request may have been, or may yet be,
-    // executed.
-    enum class Outcome { answered, refused, unknown };
+    enum class Outcome {
+        answered,
+        refused,  ///< nothing was sent to the server
+        unknown   ///< the request may have been executed, or may yet be
+    };
     Outcome outcome = Outcome::unknown;
     int status = 0;
     std::string body;
-    int retry_after_s = 0;  // what Retry-After says; 0: nothing
+    int retry_after_s = 0;  ///< from the Retry-After header, or 0 if there is none
 
     bool ok() const { return outcome == Outcome::answered && status == 200; }
 };
@@ -29,18 +33,21 @@
 class HttpClient {
   public:
     using Done = std::function<void(const ClientReply&)>;
-    // Asked right before the bytes go out, however long the request was queued or its connection
-    // took; when it says no, nothing is sent and the request is refused.
+    /// Returns whether a request may still be sent. Called immediately before the request is
+    /// written, regardless of how long it was queued or connecting took. If it returns false,
+    /// nothing is sent and the outcome is `refused`.
     using MaySend = std::function<bool()>;
+    /// @param host value of the Host header
     HttpClient(uv_loop_t* loop, sockaddr_in address, std::string host, std::size_t max_connections,
                std::size_t max_queue);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    // `done` is called exactly once, never from inside this call, unless the client is destroyed.
-    // Nothing is queued or under way; connections may be open.
+    /// Returns whether no request is queued or in progress. Connections may be open.
     bool idle() const;
+    /// Sends or queues a request. `done` is called exactly once and never from inside this call. It
+    /// is not called after the client has been destroyed.
     void request(const char* method, const std::string& target, std::string body, Millis timeout,
                  Done done, MaySend may = {});
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -8,9 +8,9 @@
 namespace nickelramp::net {
 
 namespace {
-constexpr std::size_t kMaxBody = 64 * 1024;
-constexpr std::size_t kMaxTarget = 4096;
-constexpr std::size_t kMaxHeaders = 16 * 1024;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+constexpr std::size_t kMaxTargetBytes = 4096;
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
 
 const char* reason(int status) { return http_status_str(static_cast<http_status>(status)); }
 }  // namespace
@@ -48,10 +48,10 @@
         if (close_after_) return;
         set_state(State::reading);
         request_ = Request{};
-        // What came before the answer went out follows nothing.
+        // A request that arrived before this response was sent does not follow it.
         request_.follows_ok_reply = r.status == 200 && backlog_.empty();
         request_.followed_reply_tag = request_.follows_ok_reply ? r.tag : 0;
-        headers_ = 0;
+        header_bytes_ = 0;
         http_parser_pause(&parser_, 0);
         if (!backlog_.empty()) {
             std::string rest;
@@ -70,7 +70,7 @@
     std::uint64_t last_active() const { return last_active_; }
     PeerKind client() const { return client_; }
 
-    bool belongs_to(PeerKind client) {
+    bool set_client(PeerKind client) {
         if (client_ == client) return false;
         server_->update_counts(client_, client);
         client_ = client;
@@ -84,8 +84,9 @@
         }
         last_active_ = uv_now(server_->loop_);
         if (state_ == State::handling) {
-            // Requests are not pipelined; a little is tolerated, more is broken HTTP.
-            if (backlog_.size() + static_cast<std::size_t>(n) > kMaxBody + kMaxHeaders) {
+            // Clients are not expected to pipeline requests. At most the size of one request is
+            // buffered, and more closes the connection.
+            if (backlog_.size() + static_cast<std::size_t>(n) > kMaxBodyBytes + kMaxHeaderBytes) {
                 close();
                 return;
             }
@@ -106,7 +107,7 @@
         if (!sent) close();
     }
 
-    // Answers a request that cannot be served and closes.
+    // Responds to an invalid request with an error status and closes the connection.
     void refuse(int status) {
         close_after_ = true;
         set_state(State::handling);
@@ -120,8 +121,8 @@
             s.on_url = [](http_parser* p, const char* at, std::size_t len) {
                 auto* c = static_cast<Connection*>(p->data);
                 c->target_.append(at, len);
-                if (c->target_.size() <= kMaxTarget) return 0;
-                c->refusal_ = 414;
+                if (c->target_.size() <= kMaxTargetBytes) return 0;
+                c->error_status_ = 414;
                 return 1;
             };
             s.on_header_field = count_header;
@@ -129,8 +130,8 @@
             s.on_body = [](http_parser* p, const char* at, std::size_t len) {
                 auto* c = static_cast<Connection*>(p->data);
                 c->request_.body.append(at, len);
-                if (c->request_.body.size() <= kMaxBody) return 0;
-                c->refusal_ = 413;
+                if (c->request_.body.size() <= kMaxBodyBytes) return 0;
+                c->error_status_ = 413;
                 return 1;
             };
             s.on_message_complete = [](http_parser* p) {
@@ -142,8 +143,8 @@
             return s;
         }();
         std::size_t used = http_parser_execute(&parser_, &settings, data, n);
-        if (refusal_ != 0) {
-            refuse(refusal_);
+        if (error_status_ != 0) {
+            refuse(error_status_);
             return;
         }
         auto error = HTTP_PARSER_ERRNO(&parser_);
@@ -175,9 +176,9 @@
 
     static int count_header(http_parser* p, const char*, std::size_t len) {
         auto* c = static_cast<Connection*>(p->data);
-        c->headers_ += len;
-        if (c->headers_ <= kMaxHeaders) return 0;
-        c->refusal_ = 431;
+        c->header_bytes_ += len;
+        if (c->header_bytes_ <= kMaxHeaderBytes) return 0;
+        c->error_status_ = 431;
         return 1;
     }
 
@@ -190,8 +191,8 @@
     std::string backlog_;
     std::string local_ip_;
     PeerKind client_ = PeerKind::other;
-    std::size_t headers_ = 0;
-    int refusal_ = 0;
+    std::size_t header_bytes_ = 0;
+    int error_status_ = 0;
     bool complete_ = false;
     bool close_after_ = false;
     std::uint64_t last_active_ = 0;
@@ -203,7 +204,7 @@
 
 bool Responder::classify(PeerKind client) const {
     auto c = connection_.lock();
-    return c && c->belongs_to(client);
+    return c && c->set_client(client);
 }
 
 HttpServer::HttpServer(uv_loop_t* loop, std::size_t max_connections, Handler handler)
@@ -243,7 +244,7 @@
     if (connections_.size() > max_connections_) c->close();
 }
 
-// At the limit, the connections that have been idle longest make room.
+// Closes the connection that has been idle longest, if it has been idle for more than 30 s.
 void HttpServer::close_idle_connections() {
     std::uint64_t now = uv_now(loop_);
     Connection* oldest = nullptr;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,6 @@
-// HTTP/1.1 server on libuv and http-parser: keep-alive, one request at a time per connection,
-// bounded bodies, bounded connections.
+/// @file
+/// HTTP/1.1 server on libuv and http-parser with keep-alive connections. It handles one request at
+/// a time per connection and limits the size of requests and the number of connections.
 #pragma once
 #include <uv.h>
 
@@ -18,36 +19,39 @@
     std::string path;
     std::string query;
     std::string body;
-    // It came after an answer 200 to the one before it on this connection: requests are not
-    // pipelined, so that answer has arrived.
+    /// Whether the previous request on this connection was answered with status 200 before this one
+    /// arrived. As clients do not pipeline requests, the client has then received that reply.
     bool follows_ok_reply = false;
-    std::uint64_t followed_reply_tag = 0;  // of that answer
-    std::string local_ip = "";             // that it came to, where the server was asked to tell
+    std::uint64_t followed_reply_tag = 0;  ///< tag of that reply, or 0
+    std::string local_ip = "";  ///< address it arrived at; empty without report_local_ip()
 };
 
 struct Response {
     int status = 200;
     std::string body;
-    int retry_after_s = 0;  // sent as Retry-After when positive
+    int retry_after_s = 0;  ///< sent as Retry-After if positive
     const char* type = "application/cbor";
-    // Of an answer 200: comes back in the next request of the connection.
+    /// Only with status 200: passed to the handler as followed_reply_tag of the connection's next
+    /// request.
     std::uint64_t tag = 0;
-    bool close = false;  // the connection ends with it
+    bool close = false;  ///< close the connection after this response
 };
 
 class Connection;
 
-// Who is at the other end, as far as its requests have shown.
+/// The kind of client at the other end of a connection, as far as its requests have shown.
 enum class PeerKind { other, worker };
 
-// Answers one request; may be kept and used later. Answering a closed connection does nothing.
+/// Sends the response to one request, immediately or later. Does nothing if the connection is
+/// closed.
 class Responder {
   public:
     Responder() = default;
     explicit Responder(std::weak_ptr<Connection> c) : connection_(std::move(c)) {}
     void send(const Response& response) const;
     void operator()(const Response& response) const { send(response); }
-    // From now on the connection counts as such a client's. True if it did not before.
+    /// Sets the kind of client that the connection is counted under. Returns whether it has
+    /// changed.
     bool classify(PeerKind client) const;
 
   private:
@@ -62,8 +66,9 @@
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    int listen(const sockaddr_in& address);  // 0 or a libuv error
-    // Requests name the address that they came to. For servers that listen on all addresses.
+    /// Returns 0 or a libuv error.
+    int listen(const sockaddr_in& address);
+    /// Enables Request::local_ip. For servers that listen on all addresses.
     void report_local_ip() { reports_local_ip_ = true; }
     std::size_t connections() const { return connections_.size(); }
     std::size_t worker_connections() const { return worker_connections_; }
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -1,9 +1,11 @@
-// How a process divides its sockets.
+/// @file
+/// Division of a process's sockets among their uses.
 #pragma once
 
 namespace nickelramp::net {
 
-// For connections to the server; the rest is for commands to machines, peers, state service, cloud.
+/// Share of the sockets for connections to the HTTP server. The remaining sockets are for
+/// connections to machines, peers, the key-value store and the cloud.
 inline constexpr double kServerSocketShare = 0.8;
 
 }  // namespace nickelramp::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,5 +1,5 @@
 /// @file
-/// One TCP connection on libuv, as the HTTP client, the HTTP server and the peer network use it.
+/// A TCP connection on libuv, used by the HTTP client, the HTTP server and the peer network.
 #pragma once
 #include <uv.h>
 
@@ -11,19 +11,19 @@
 
 namespace nickelramp::net {
 
-/// A TCP connection that belongs to an owner held by shared_ptr. Operations under way hold the
-/// owner weakly, so that it may go away in the middle of them. To be used on the loop's thread
-/// only; closed by close() or by the destructor.
+/// A TCP connection whose owner is managed by a std::shared_ptr. Pending operations hold a weak
+/// reference to the owner, which may therefore be destroyed before they end. Must be used on the
+/// loop's thread only. Closed by close() or by the destructor.
 class Stream {
   public:
     explicit Stream(uv_loop_t* loop) : tcp_(loop, uv_tcp_init) {}
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
 
-    /// For uv_accept. Null once closed.
+    /// Returns the handle for uv_accept, or nullptr once the stream is closed.
     uv_stream_t* handle() const { return reinterpret_cast<uv_stream_t*>(tcp_.get()); }
 
-    /// The IPv4 address of this end; empty if it is not connected.
+    /// Returns the local IPv4 address, or an empty string if the stream is not connected.
     std::string local_ip() const {
         sockaddr_in address{};
         int size = sizeof address;
@@ -33,16 +33,16 @@
         return text;
     }
 
-    /// Nothing is read any more; writes under way fail. May be called again.
+    /// Stops reading and lets pending writes fail. May be called repeatedly.
     void close() {
         if (tcp_.is_closed()) return;
         tcp_.get()->data = nullptr;
         tcp_.close();
     }
 
-    /// Starts to call owner->on_bytes(data, size) for what arrives; a negative size is a libuv
-    /// error and says that the connection has ended. The owner is kept alive during the call, and
-    /// must close the stream before it goes away.
+    /// Starts reading and calls owner->on_bytes(data, size) for received data. A negative size is a
+    /// libuv error and means that the connection has ended. The owner is kept alive during the call
+    /// and must close the stream before it is destroyed.
     template <typename Owner>
     void read(Owner* owner) {
         tcp_.get()->data = owner;
@@ -50,7 +50,7 @@
         uv_read_start(
             handle(),
             [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-                // One for all streams: the owner consumes what is read before the next read.
+                // All streams share one buffer, because the owner consumes the data in on_bytes.
                 static char shared[64 * 1024];
                 *buffer = uv_buf_init(shared, sizeof shared);
             },
@@ -62,8 +62,9 @@
             });
     }
 
-    /// Sends the data and then calls done(owner, status, size) if the owner still lives; a negative
-    /// status is a libuv error. False: nothing was sent, and `done` will not be called.
+    /// Sends the data and then calls done(owner, status, size) if the owner still exists. A
+    /// negative status is a libuv error. Returns false if nothing was sent and `done` will not be
+    /// called.
     template <typename Owner, typename Done>
     [[nodiscard]] bool write(std::weak_ptr<Owner> owner, std::string data, Done done) {
         struct WriteRequest {
@@ -90,8 +91,8 @@
         return true;
     }
 
-    /// Connects and then calls done(owner, status) if the owner still lives; a negative status is
-    /// a libuv error. False: it failed at once, and `done` will not be called.
+    /// Connects and then calls done(owner, status) if the owner still exists. A negative status is
+    /// a libuv error. Returns false if connecting failed immediately and `done` will not be called.
     template <typename Owner, typename Done>
     [[nodiscard]] bool connect(std::weak_ptr<Owner> owner, const sockaddr_in& address, Done done) {
         struct ConnectRequest {
--- a/src/net/timed.h
+++ b/src/net/timed.h
@@ -1,4 +1,5 @@
-// What is answered on a loop is handed on with the time at which it came.
+/// @file
+/// Adapter for reply callbacks that adds the time at which the reply was received.
 #pragma once
 #include <uv.h>
 
@@ -8,6 +9,7 @@
 
 namespace nickelramp::net {
 
+/// Returns a callback that takes a reply and calls done(now, reply) with the loop's current time.
 template <typename Done>
 auto with_time(uv_loop_t* loop, Done done) {
     return [loop, done = std::move(done)](const auto& r) {
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,4 +1,5 @@
-// A libuv timer that owns its handle and runs a function.
+/// @file
+/// A libuv timer that calls a function.
 #pragma once
 #include <uv.h>
 
@@ -8,6 +9,7 @@
 
 namespace nickelramp::net {
 
+/// Owns a libuv timer. Must be used on the loop's thread only.
 class Timer {
   public:
     Timer(uv_loop_t* loop, std::function<void()> fire) : handle_(new Handle{{}, std::move(fire)}) {
@@ -21,7 +23,9 @@
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
 
+    /// Starts or restarts the timer to call the function once.
     void after(Millis delay) { start(delay, 0); }
+    /// Starts or restarts the timer to call the function once per period.
     void every(Millis period) { start(period, period); }
     void stop() { uv_timer_stop(&handle_->timer); }
 
--- a/src/net/uv_handle.h
+++ b/src/net/uv_handle.h
@@ -7,16 +7,17 @@
 
 namespace nickelramp::net {
 
-/// Owns one libuv handle. libuv refers to a handle until its close callback has run, so the memory
-/// is released there, in a later turn of the loop, and not by the destructor itself. The loop must
-/// still run, or be walked, once after the owner is gone. To be used on the loop's thread only.
+/// Owns one libuv handle. libuv refers to a handle until its close callback has run. The memory is
+/// therefore released in that callback, in a later iteration of the loop, and not in the
+/// destructor. The loop must run, or be walked, once more after the owner has been destroyed. Must
+/// be used on the loop's thread only.
 template <typename Handle>
 class UvHandle {
   public:
     using Initialize = int (*)(uv_loop_t*, Handle*);
 
-    /// `initialize` is libuv's function for the type, such as uv_tcp_init. `data` is stored in the
-    /// handle, for its callbacks.
+    /// @param initialize libuv's function for the handle type, such as uv_tcp_init
+    /// @param data pointer that is stored in the handle for its callbacks
     UvHandle(uv_loop_t* loop, Initialize initialize, void* data = nullptr) : handle_(new Handle{}) {
         initialize(loop, handle_);
         handle_->data = data;
@@ -25,12 +26,12 @@
     UvHandle(const UvHandle&) = delete;
     UvHandle& operator=(const UvHandle&) = delete;
 
-    /// Null once the handle is closed.
+    /// Returns the handle, or nullptr once it is closed.
     Handle* get() const { return handle_; }
     bool is_closed() const { return handle_ == nullptr; }
 
-    /// Stops all callbacks of the handle but those of requests under way, which end with
-    /// UV_ECANCELED. May be called again.
+    /// Closes the handle. Afterwards only the callbacks of pending requests run, with UV_ECANCELED.
+    /// May be called repeatedly.
     void close() {
         if (Handle* handle = std::exchange(handle_, nullptr)) {
             uv_close(reinterpret_cast<uv_handle_t*>(handle),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The loop may end although this handle is active.
+    /// Allows the loop to end while this handle is active.
     void unref() { uv_unref(reinterpret_cast<uv_handle_t*>(handle_)); }
 
   private:
