--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -83,6 +83,7 @@
   private:
     void set_state(State state) { state_ = state; }
 
+    // Prepares the connection for the next request and its reply.
     void take(HttpClient::Pending p) {
         bytes_ = std::move(p.bytes);
         deadline_ = p.deadline;
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -23,9 +23,15 @@
 
 /// A service-level objective for jobs of a class. An empty class stands for all classes.
 struct Objective {
-    enum class Kind { wait, finished, deadline, guarantee };
+    enum class Kind {
+        wait,      ///< a job starts within `within_s` seconds of its acceptance
+        finished,  ///< a job ends within `within_s` seconds of its acceptance
+        deadline,  ///< a job ends within its deadline multiplied by `times`
+        guarantee  ///< read but not evaluated
+    };
     Kind kind = Kind::wait;
     std::string job_class;
+    /// `share` is read but not evaluated.
     double within_s = 0, times = 1, share = 0;
 };
 
@@ -52,6 +58,7 @@
     /// Limits of this process: share of a CPU, memory, and number of sockets (at least 64).
     double cpu_share = 1, memory_mb = 0;
     std::size_t max_sockets = 0;
+    /// Read but not evaluated.
     double time_bound_ms = 0;
 };
 
