--- a/tests/cluster_simulation_holders.cpp
+++ b/tests/cluster_simulation_holders.cpp
@@ -6,13 +6,15 @@
 namespace nickelramp::test {
 
 namespace {
-constexpr Millis kTickEvery = 100, kStatusEvery = 1'000;
+constexpr Millis kTickInterval = 100, kStatusInterval = 1'000;
 constexpr Millis kMessageDelay = 20, kLateGrantDelay = 6'000;
-// How long after the holders' messages the leader sends its own, and which renewals fall into it.
-constexpr Millis kLeaderSendsAfter = 50, kRenewalWindow = 200;
+// The delay of the leader's messages after those of the holders, and the age of the leader's view
+// of the store when it sends them.
+constexpr Millis kLeaderSendDelay = 50, kLeaderViewAge = 200;
 }  // namespace
 
-// Begins a shard holder's process, perhaps after another died: a new incarnation without any state.
+// Starts a shard holder's process, possibly in place of an earlier one. It has a new incarnation
+// and no state.
 void ClusterSimulation::start_holder(std::size_t index) {
     Controller& holder = *controllers_[index];
     const std::uint64_t incarnation = ++holder_incarnations_;
@@ -21,7 +23,7 @@
                                                                  "lead/term", gateway, incarnation);
     holder.partition_responder =
         std::make_unique<partition::PartitionResponder>(holder_settings_[index]);
-    context_.after(kTickEvery, [this, index, incarnation] { tick_holder(index, incarnation); });
+    context_.after(kTickInterval, [this, index, incarnation] { tick_holder(index, incarnation); });
 }
 
 void ClusterSimulation::restart_holders() {
@@ -33,7 +35,7 @@
     if (holder.incarnation() != incarnation) return;
     holder.tick(now());
     holder.dispose_ended();
-    context_.after(kTickEvery, [this, index, incarnation] { tick_holder(index, incarnation); });
+    context_.after(kTickInterval, [this, index, incarnation] { tick_holder(index, incarnation); });
 }
 
 std::size_t ClusterSimulation::holder_index(const std::string& name) const {
@@ -41,14 +43,14 @@
 }
 
 void ClusterSimulation::exchange_peer_messages() {
-    context_.after(kStatusEvery, [this] { exchange_peer_messages(); });
+    context_.after(kStatusInterval, [this] { exchange_peer_messages(); });
     for (std::size_t i = 0; i < 2; ++i) {
         if (context_.chance(context_.faults.holder_failures_per_s)) start_holder(i);
         if (context_.chance(context_.faults.lost_peer_messages) || network_.holder_partitioned(i))
             continue;
         send_holder_status(i);
     }
-    context_.after(kLeaderSendsAfter, [this] {
+    context_.after(kLeaderSendDelay, [this] {
         if (leader() == nullptr) return;
         send_heartbeat_delegations();
         send_shard_grants();
@@ -79,7 +81,7 @@
 
 void ClusterSimulation::send_heartbeat_delegations() {
     for (const auto& [name, delegation] :
-         leader()->heartbeat_delegations(now() - kRenewalWindow, now())) {
+         leader()->heartbeat_delegations(now() - kLeaderViewAge, now())) {
         leading_controller()->trace("peer-message", name, traced(peers::encode(delegation)));
         const std::size_t index = holder_index(name);
         if (loses_message_to_holder(index)) continue;
@@ -94,7 +96,7 @@
 
 void ClusterSimulation::send_shard_grants() {
     const Faults& faults = context_.faults;
-    for (const auto& [name, grant] : leader()->shard_renewals(now() - kRenewalWindow, now())) {
+    for (const auto& [name, grant] : leader()->shard_renewals(now() - kLeaderViewAge, now())) {
         leading_controller()->trace("peer-message", name, traced(peers::encode(grant)));
         const std::size_t index = holder_index(name);
         if (loses_message_to_holder(index)) continue;
--- a/tests/cluster_simulation_leaders.cpp
+++ b/tests/cluster_simulation_leaders.cpp
@@ -1,4 +1,4 @@
-// Leaders: their election, how they load the records, and faults of theirs.
+// Leaders: their election, the loading of records, and their faults.
 #include <algorithm>
 #include <iterator>
 
@@ -10,11 +10,11 @@
 
 namespace {
 constexpr const char* kTermKey = "lead/term";
-constexpr Millis kTickEvery = 100, kRetryLoadAfter = 500;
-constexpr Millis kListInstancesEvery = 4'000;
+constexpr Millis kTickInterval = 100, kLoadRetryDelay = 500;
+constexpr Millis kListInstancesInterval = 4'000;
 constexpr std::size_t kPageSize = 4;
 constexpr Millis kSendDelayOfFault = 25'000;
-// One list after the other, as the program does it.
+// Listed one after the other, as the program does.
 const char* const kLoadedPrefixes[] = {"open/", "run/", "block/", autoscaling::kIntentKeyPrefix};
 }  // namespace
 
@@ -47,7 +47,7 @@
     load(index);
 }
 
-// The old leader ends, or goes on responding to workers for as long as it may.
+// Ends the old leader, or lets it respond to workers for as long as it is allowed to.
 void ClusterSimulation::depose_leader() {
     for (auto& controller : controllers_) {
         if (!controller->leads) continue;
@@ -61,13 +61,13 @@
     }
 }
 
-// The new leader reads the records: users' requests, shards, intents and checkpoints, in pages.
-// Without the fault list_delay it takes no time.
+// Makes the new leader read the records in pages: users' requests, shards, intents and checkpoints.
+// This takes no time without the fault list_delay.
 void ClusterSimulation::load(std::size_t index) {
     const Controller& controller = *controllers_[index];
     if (!controller.leads) return;
     if (!state_service_answers(controller) || now() < controller.frozen_until) {
-        context_.after(kRetryLoadAfter, [this, index] { load(index); });
+        context_.after(kLoadRetryDelay, [this, index] { load(index); });
         return;
     }
     auto progress = std::make_shared<LoadProgress>();
@@ -95,7 +95,7 @@
     start_control_loop(index, *progress);
 }
 
-// True if it was the last of its list.
+// Reads the next page of a list. Returns whether it was the last page of the list.
 bool ClusterSimulation::read_page(LoadProgress& progress) {
     const std::string prefix = kLoadedPrefixes[progress.prefix];
     const auto& keys = store_.keys();
@@ -128,17 +128,17 @@
     load_records(control_loop, progress);
     if (testing::Test::HasFatalFailure()) return;
     control_loop.start(now());
-    // The watch goes on from the first page.
+    // The watch starts at the revision of the first page.
     for (const auto& [key, stored] : store_.keys()) {
         if (jobs::job_id_of_open_key(key).empty() || stored.version <= progress.revision) continue;
         ++context_.coverage.cancellations_during_load;
         notify_leader(key);
     }
     deliver_held_heartbeats();
-    context_.after(kTickEvery, [this, index] { tick_controller(index); });
+    context_.after(kTickInterval, [this, index] { tick_controller(index); });
 }
 
-// Shards first, then intents, jobs and checkpoints: each refers to those before.
+// Loads shards first, then intents, jobs and checkpoints, because each kind refers to earlier ones.
 void ClusterSimulation::load_records(control::ControlLoop& control_loop,
                                      const LoadProgress& progress) {
     for (const auto& [key, stored] : progress.records) {
@@ -174,12 +174,12 @@
         return;
     }
     controller.control_loop->tick(now());
-    if (now() % kListInstancesEvery < kTickEvery || !controller.instances_listed) {
+    if (now() % kListInstancesInterval < kTickInterval || !controller.instances_listed) {
         controller.instances_listed = true;
         controller.control_loop->on_instances_listed(cloud_.list(), now(), now());
         cloud_.count_list_errors();
     }
-    context_.after(kTickEvery, [this, index] { tick_controller(index); });
+    context_.after(kTickInterval, [this, index] { tick_controller(index); });
 }
 
 void ClusterSimulation::set_options(const admin::Options& options) {
@@ -193,13 +193,14 @@
     send_fault_ = fault;
 }
 
-// Counts a message of the leader. How long it is held up; 0: not at all.
+// Counts a message of the leader and injects the fault that is due. Returns the delay of the
+// message; 0: no delay.
 Millis ClusterSimulation::send_fault() {
     if (++sends_ != inject_at_send_) return 0;
     const SendFault fault = send_fault_;
     if (fault == SendFault::crash || fault == SendFault::freeze) {
         context_.after(1, [this, fault] {
-            // A frozen leader keeps its cluster state, and answers nobody meanwhile.
+            // A frozen leader keeps its cluster state, but answers no requests meanwhile.
             context_.faults.lingering_old_leaders = fault == SendFault::freeze ? 1 : 0;
             fail_over();
             for (auto& controller : controllers_) controller->responds_until = now();
@@ -212,7 +213,7 @@
     count_unrecorded_completions();
     if (Controller* controller = leading_controller()) {
         controller->control_loop.reset();
-        controller->rejected_until = kNever;  // nobody renews its lease
+        controller->rejected_until = kNever;  // so that its lease is not renewed
     }
 }
 
--- a/tests/cluster_simulation_leases.cpp
+++ b/tests/cluster_simulation_leases.cpp
@@ -6,9 +6,9 @@
 namespace nickelramp::test {
 
 namespace {
-constexpr Millis kRenewEvery = 300, kRenewalTravels = 20;
-// The leader's watch is answered that often, by what the store knew a moment earlier.
-constexpr Millis kWatchAnswersAfter = 1'700, kWatchAnswerTravels = 200;
+constexpr Millis kRenewalInterval = 300, kRenewalDelay = 20;
+// The interval between replies to the leader's watch, and the age of the view that a reply gives.
+constexpr Millis kWatchReplyInterval = 1'700, kWatchReplyAge = 200;
 }  // namespace
 
 void ClusterSimulation::simulate_leader_leases() {
@@ -18,10 +18,10 @@
     update_leader_leases();
 }
 
-// Its lease is new, or was renewed a moment ago.
+// Records that the lease of the controller was granted or renewed a moment ago.
 void ClusterSimulation::renew_leader_lease(Controller& controller) {
     controller.lease_end = now() + lease::kLeaseDuration;
-    controller.leads_until = now() - kRenewalTravels + without_clock_drift(lease::kLeaseDuration);
+    controller.leads_until = now() - kRenewalDelay + without_clock_drift(lease::kLeaseDuration);
     if (controller.control_loop)
         controller.control_loop->confirm_lease_until(controller.leads_until);
 }
@@ -35,25 +35,26 @@
            now() < controller.state_seen_at + controller.control_loop->max_response_window();
 }
 
-// It answers heartbeats as a leader, rightly or not.
+// Returns whether the controller answers heartbeats as a leader, even if it has been deposed.
 bool ClusterSimulation::responds(const Controller& controller) const {
     if (!controller.control_loop) return false;
     if (leader_leases_) return may_respond(controller);
     return controller.leads || now() < controller.responds_until;
 }
 
-// Renewals, the watch that dates a leader's view, and leases that expire.
+// Renews leases, updates the time of the leader's view of the store, and elects a new leader when
+// the lease has expired.
 void ClusterSimulation::update_leader_leases() {
-    context_.after(kRenewEvery, [this] { update_leader_leases(); });
+    context_.after(kRenewalInterval, [this] { update_leader_leases(); });
     if (!store_.up()) return;
     Controller* holder = leading_controller();
     const bool held = holder != nullptr && now() < holder->lease_end;
     if (held && state_service_answers(*holder) && now() >= holder->frozen_until) {
         renew_leader_lease(*holder);
-        if (now() - holder->state_seen_at > kWatchAnswersAfter)
-            holder->state_seen_at = now() - kWatchAnswerTravels;
+        if (now() - holder->state_seen_at > kWatchReplyInterval)
+            holder->state_seen_at = now() - kWatchReplyAge;
     }
-    // Whoever has lost its lease learns so when the store answers it again.
+    // A controller that has lost its lease is deposed when the store answers it again.
     for (auto& controller : controllers_) {
         if (!controller->control_loop || (controller->leads && held) ||
             now() < controller->frozen_until || !state_service_answers(*controller))
@@ -75,7 +76,7 @@
 void ClusterSimulation::take_state_service_down(Millis length) {
     store_.take_down(length);
     context_.after(length, [this] {
-        // Leases that had not expired have their full duration again.
+        // After an outage, leases that had not expired have their full duration again.
         if (Controller* controller = leading_controller(); controller != nullptr && store_.up())
             controller->lease_end = now() + lease::kLeaseDuration;
     });
