--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Millis kCheckEvery = 500;
-constexpr double kCheckEvery_s = 0.5;
-constexpr Millis kAskAgainAfter = 1'000;
+constexpr Millis kCheckInterval = 500;
+constexpr double kCheckInterval_s = 0.5;
+constexpr Millis kUserRetryDelay = 1'000;
 
 std::vector<wire::MachineType> default_machine_types() {
     return {{"g4", 16, 4, 64, 50, 1, 10, 4, 10, {"a", "b"}},
@@ -95,11 +95,11 @@
     while (now() < time && !testing::Test::HasFailure()) {
         context_.advance(std::min(time, next_check));
         if (now() < next_check) continue;
-        next_check = now() + kCheckEvery;
+        next_check = now() + kCheckInterval;
         checker_.check_all();
         waiting_jobs_.check([this](const std::string& id) { return final_state(id).empty(); });
-        if (context_.chance(context_.faults.failovers_per_s * kCheckEvery_s)) fail_over();
-        if (context_.chance(context_.faults.machine_failures_per_s * kCheckEvery_s)) {
+        if (context_.chance(context_.faults.failovers_per_s * kCheckInterval_s)) fail_over();
+        if (context_.chance(context_.faults.machine_failures_per_s * kCheckInterval_s)) {
             if (const std::string name = any_machine(); !name.empty()) kill_machine(name);
         }
     }
@@ -110,7 +110,7 @@
     ASSERT_TRUE(parsed) << parsed.error().message();
     jobs_.add(*parsed);
     if (!store_.take_write_budget(2)) {
-        context_.after(kAskAgainAfter, [this, spec] { submit(spec); });
+        context_.after(kUserRetryDelay, [this, spec] { submit(spec); });
         return;
     }
     store_.put(jobs::job_key(parsed->id), Json{{"final", nullptr}, {"tasks", parsed->tasks}});
@@ -130,7 +130,7 @@
     kvstore::Transaction transaction;
     transaction.conditions = {{key, open->version}};
     transaction.writes = {{key, record}};
-    // It may be applied late, when its user has asked again.
+    // The transaction may be applied late, after the user has repeated the request.
     const bool late = context_.chance(context_.faults.unknown_commits);
     auto write = [this, transaction, key, late] {
         const bool applied =
@@ -148,7 +148,7 @@
 void ClusterSimulation::request_cancel_until_answered(const std::string& id) {
     if (!final_state(id).empty()) return;
     if (state_service_up()) cancel(id);
-    context_.after(kAskAgainAfter, [this, id] { request_cancel_until_answered(id); });
+    context_.after(kUserRetryDelay, [this, id] { request_cancel_until_answered(id); });
 }
 
 std::vector<std::string> ClusterSimulation::jobs_reported_late(Millis longer) const {
@@ -184,21 +184,22 @@
 }
 
 std::string ClusterSimulation::inconsistent_job() {
-    if (leader() == nullptr) return "nobody leads";
+    if (leader() == nullptr) return "there is no leader";
     for (const auto& [id, job] : leader()->open_jobs()) {
         if (store_.find(jobs::open_key(id)) == nullptr && job->state != jobs::JobState::finished)
-            return id + " has no open record, and the leader has it as " + jobs::name(job->state);
+            return id + " has no open record, but the leader has it in state " +
+                   jobs::name(job->state);
     }
     for (const auto& [key, stored] : store_.keys()) {
         const std::string id = jobs::job_id_of_open_key(key);
         if (!id.empty() && leader()->open_jobs().count(id) == 0)
-            return id + " is open, and the leader does not have it";
+            return id + " has an open record, but the leader does not have the job";
     }
     return "";
 }
 
 std::string ClusterSimulation::describe_cluster_state() {
-    if (leader() == nullptr) return "nobody leads";
+    if (leader() == nullptr) return "there is no leader";
     std::string text;
     for (const auto& [id, job] : leader()->open_jobs()) {
         const auto* open = store_.find(jobs::open_key(id));
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -1,4 +1,6 @@
-// A cluster in simulated time around the real control loop.
+/// @file
+/// A cluster in simulated time around real control loops. Tests submit jobs, inject faults and let
+/// time pass.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -27,26 +29,27 @@
 
 namespace nickelramp::test {
 
-/// Two zones and two teams, and short leases.
+/// Returns settings with two zones, two teams and short leases.
 wire::Settings simulation_settings();
 
-/// A job as users submit it, of team "red" with shape "sweep" (an array), "ensemble" (a gang) or
-/// "standing" (a service).
+/// Returns a job as users submit it, of team "red" and with shape "sweep" (an array), "ensemble" (a
+/// gang) or "standing" (a service).
 wire::Json job(const std::string& id, const std::string& shape, std::uint32_t tasks, double gpus);
 
-/// A heartbeat with these and nothing else.
+/// Returns a heartbeat with these values and no tasks.
 wire::Heartbeat report(std::uint64_t incarnation, std::uint64_t sequence, std::uint64_t token);
 
 /// Runs real control loops, shard holders and partition responders against a simulated key-value
 /// store, cloud, network and workers. Faults (simulation_faults.h) are injected at random or by the
-/// methods below. RuleChecker asserts the rules at every step, so that a test needs only submit
-/// jobs and let time pass.
+/// methods below. RuleChecker asserts the rules at every step, so a test only needs to submit jobs
+/// and let time pass.
 class ClusterSimulation {
   public:
     using Coverage = SimulationCoverage;
 
-    /// `delegated`: so many machines are leased to each of two shard holders; 0: there are none.
-    /// Without `types` there are two machine types.
+    /// @param delegated the number of machines leased to each of two shard holders; 0: there are no
+    ///     shard holders
+    /// @param types the machine types; if empty, two default types
     ClusterSimulation(std::uint64_t seed, Faults faults, std::uint32_t delegated = 0,
                       std::vector<wire::MachineType> types = {});
     ~ClusterSimulation();
@@ -54,7 +57,7 @@
     // --- Time and faults.
 
     [[nodiscard]] Millis now() const { return context_.now(); }
-    /// Runs everything up to that time. Returns early once the test has failed.
+    /// Runs all events up to `time`. Returns early once the test has failed.
     void run_until(Millis time);
     void after(Millis wait, std::function<void()> event) { context_.after(wait, std::move(event)); }
     void clear_faults() { context_.faults = {}; }
@@ -65,34 +68,34 @@
 
     void submit(const wire::Json& spec);
     void cancel(const std::string& id);
-    /// The user asks again every second until the job has a final state.
+    /// Requests the cancellation every second until the job has a final state.
     void request_cancel_until_answered(const std::string& id);
-    /// It was submitted with a mistake: all its tasks fail.
+    /// Makes all tasks of the job fail, as if it was submitted with a mistake.
     void make_job_fail(const std::string& id) { jobs_.make_fail(id); }
     void set_task_duration(const std::string& id, Millis length) {
         jobs_.set_task_duration(id, length);
     }
-    /// "" while there is none, "done" or "withdrawn".
+    /// Returns "done", "withdrawn" or, while there is no final state, "".
     [[nodiscard]] std::string final_state(const std::string& id) const {
         return store_.final_state(id);
     }
-    /// When its last task completed; 0 before that.
+    /// Returns when the last task of the job completed; 0 before that.
     [[nodiscard]] Millis completed_at(const std::string& id) const {
         return jobs_.completed_at(id);
     }
-    /// When its final state was recorded; 0 before that.
+    /// Returns when the final state of the job was recorded; 0 before that.
     [[nodiscard]] Millis final_at(const std::string& id) const { return jobs_.final_at(id); }
-    /// Jobs that completed longer ago than that and have no final state.
+    /// Returns the jobs that completed more than `longer` ago and have no final state.
     [[nodiscard]] std::vector<std::string> jobs_reported_late(Millis longer) const;
-    /// From here on asserts that no job waits for longer than that while only the leader holds it
-    /// back (see WaitingJobChecker).
+    /// From now on, asserts that no job waits for longer than `longest` while only the leader
+    /// delays it (see WaitingJobChecker).
     void expect_wait_below(Millis longest);
     [[nodiscard]] Millis longest_wait() const { return context_.coverage.longest_wait; }
 
     // --- Tasks.
 
     [[nodiscard]] std::size_t started_tasks() const { return checker_.started_tasks(); }
-    /// Tasks that a stop command ended.
+    /// Returns the number of tasks that a stop command ended.
     [[nodiscard]] std::size_t stopped_tasks() const { return workers_.stopped_tasks(); }
     [[nodiscard]] std::size_t tasks_killed_by_lease() const {
         return workers_.tasks_killed_by_lease();
@@ -100,7 +103,7 @@
     [[nodiscard]] std::size_t running_tasks(const std::string& zone) const {
         return workers_.running_tasks(zone);
     }
-    /// Tasks of the job that occupy a machine.
+    /// Returns the number of tasks of the job that occupy a machine.
     [[nodiscard]] std::size_t tasks_on_machines(const std::string& id) const {
         return workers_.tasks_of(id);
     }
@@ -111,11 +114,11 @@
     // --- Machines and the cloud.
 
     [[nodiscard]] std::size_t machines() const { return workers_.all().size(); }
-    /// Machines that are up and have tasks, by name.
+    /// Returns the names of the machines that are up and have tasks.
     [[nodiscard]] std::vector<std::string> working_machines() const {
         return workers_.working_machines();
     }
-    /// One of working_machines(), or "".
+    /// Returns one of working_machines(), or "" if there is none.
     [[nodiscard]] std::string any_machine() const;
     [[nodiscard]] const std::string& zone_of(const std::string& machine) {
         return workers_.machine(machine).zone;
@@ -127,151 +130,159 @@
         return workers_.machine(machine).removed;
     }
     [[nodiscard]] std::size_t provisioned_machines() const { return cloud_.provisioned_machines(); }
-    /// Of one zone, or of all.
+    /// Returns the number of machines released in a zone; if `zone` is empty, in all zones.
     [[nodiscard]] std::size_t released_machines(const std::string& zone = "") const {
         return cloud_.released_machines(zone);
     }
-    /// The type of every provisioning request, in order.
+    /// Returns the machine type of every provisioning request, in order.
     [[nodiscard]] const std::vector<std::string>& provisioned_types() const {
         return provisioned_types_;
     }
-    /// It stops, and the cloud lists it as before.
+    /// Stops the machine. The cloud lists it as before.
     void kill_machine(const std::string& name) { workers_.kill(workers_.machine(name)); }
-    /// It stops, and the cloud lists it as failed.
+    /// Stops the machine. The cloud lists it as failed.
     void fail_machine(const std::string& name);
-    /// Its worker is back at once, its counters begin again and nothing runs on it.
+    /// Restarts the worker at once. Its counters start again and it runs no tasks.
     void restart_machine(const std::string& name);
-    /// No machine fails its tasks any more.
+    /// Repairs the machines that fail every task.
     void repair_faulty_machines() { workers_.repair_faulty(); }
-    /// The cloud takes away all machines of the zone.
+    /// Makes the cloud preempt all machines of the zone.
     void preempt_zone(const std::string& zone) { workers_.preempt_zone(zone); }
 
     // --- The network.
 
     void partition(const Partition& partition) { network_.add(partition); }
-    /// Its heartbeats arrive; no reply and no command reaches it.
+    /// Until `until`, heartbeats of the machine arrive, but no reply and no command reaches it.
     void block_inbound(const std::string& name, Millis until) {
         workers_.machine(name).inbound_blocked_until = until;
     }
-    /// Its heartbeats are answered; no command reaches it.
+    /// Until `until`, heartbeats of the machine are answered, but no command reaches it.
     void block_commands(const std::string& name, Millis until) {
         workers_.machine(name).commands_blocked_until = until;
     }
-    /// Its heartbeats arrive nowhere; commands reach it, and its replies to them arrive.
+    /// Until `until`, heartbeats of the machine are lost. Commands reach it, and its replies
+    /// arrive.
     void block_heartbeats(const std::string& name, Millis until) {
         workers_.machine(name).heartbeats_blocked_until = until;
     }
-    /// A copy of the machine's last heartbeat, or of its first, reaches the leader after so long.
-    /// Asserts that the leader sends no commands in reply.
+    /// Delivers a copy of the machine's first or last heartbeat to the leader after the duration
+    /// `after`. Asserts that the leader sends no commands in reply.
     void redeliver_heartbeat(const std::string& machine, bool first, Millis after);
     [[nodiscard]] std::size_t heartbeat_copies() const { return heartbeat_copies_; }
     [[nodiscard]] std::size_t answered_heartbeat_copies() const {
         return answered_heartbeat_copies_;
     }
-    /// Workers report to so many forwarding controllers instead of to the leader itself.
+    /// Makes workers send their heartbeats to `forwarders` forwarding controllers instead of to the
+    /// leader itself.
     void forward_heartbeats(std::size_t forwarders, ForwardingFaults faults);
     ForwardingSimulation& forwarding() { return *forwarding_; }
 
     // --- Controllers.
 
-    /// The leader's control loop; null while nobody leads or it is still loading its records.
+    /// Returns the leader's control loop, or null while there is no leader or the leader is still
+    /// loading its records.
     control::ControlLoop* leader();
-    /// A leader has been elected and has not read all records yet.
+    /// Returns whether a leader has been elected and has not read all records yet.
     [[nodiscard]] bool leader_is_loading();
     [[nodiscard]] std::size_t term_count() const { return term_; }
-    /// Another controller is elected at once.
+    /// Elects another controller at once.
     void fail_over();
-    /// From here on leaders hold a lease in the key-value store: they renew it, lose it when the
-    /// store is unreachable for them, and a cut-off leader acts only as long as its clock allows.
+    /// From now on, leaders hold a lease in the key-value store. They renew it and lose it when
+    /// they cannot reach the store. An unreachable leader acts only as long as its own clock
+    /// permits.
     void simulate_leader_leases();
-    /// Ends without notice; with leases, the next leader is elected when its lease has expired.
+    /// Ends the leader without notice. With leases, the next leader is elected once the lease has
+    /// expired.
     void crash_leader();
     void freeze_leader(Millis length);
-    /// What happens to the leader as it sends its `step`-th message from here on to the key-value
+    /// Injects the fault as the leader sends its `step`-th message from now on to the key-value
     /// store or the cloud.
     void inject_at_send(std::size_t step, SendFault fault);
-    /// inject_at_send() has taken effect.
+    /// Returns whether the fault of inject_at_send() has been injected.
     [[nodiscard]] bool injected() const { return sends_ >= inject_at_send_; }
-    /// Both shard holders end, and others begin.
+    /// Replaces both shard holders by new processes without state.
     void restart_holders();
     void set_options(const admin::Options& options);
-    /// Shard grants that a holder took up.
+    /// Returns the number of shard grants that a holder accepted.
     [[nodiscard]] std::size_t accepted_shard_grants() const { return accepted_shard_grants_; }
-    /// Cancellations that were confirmed while an earlier leader still responded to workers.
+    /// Returns the number of cancellations that were confirmed while a leader of an earlier term
+    /// still responded to workers.
     [[nodiscard]] std::size_t cancellations_confirmed_beside_old_leaders() const {
-        return cancellations_confirmed_beside_old_;
+        return cancellations_confirmed_beside_old_leaders_;
     }
-    /// Replies 200 to heartbeats by leaders of an earlier term.
-    [[nodiscard]] std::size_t replies_by_old_leaders() const { return replies_by_old_; }
-    /// Replies 200 to heartbeats by partition responders.
+    /// Returns the number of replies 200 to heartbeats by leaders of an earlier term.
+    [[nodiscard]] std::size_t replies_by_old_leaders() const { return replies_by_old_leaders_; }
+    /// Returns the number of replies 200 to heartbeats by partition responders.
     [[nodiscard]] std::size_t replies_by_responders() const { return replies_by_responders_; }
 
     // --- The key-value store.
 
-    /// It refuses the leader, and nobody else.
+    /// Makes the store refuse requests of the leader only.
     void reject_leader_at_state_service(Millis length);
-    /// It answers nobody.
+    /// Makes the store unavailable to all controllers.
     void take_state_service_down(Millis length);
     [[nodiscard]] bool state_service_up() const { return store_.up(); }
-    /// The leader's watch ends, and it reads all open records when it is back.
+    /// Interrupts the leader's watch. The leader reads all open records when the watch is restored.
     void interrupt_watch(Millis length);
-    /// The leader's watch has missed changes: it reads all open records, as they are now, and the
-    /// reply reaches it so much later.
+    /// Makes the leader read all open records because its watch has missed changes. It receives the
+    /// records as they are now, after the duration `after`.
     void reload_open_records(Millis after);
     [[nodiscard]] std::size_t count_records(const std::string& prefix) const {
         return store_.count(prefix);
     }
-    /// Provisioning intents on record.
+    /// Returns the number of recorded provisioning intents.
     [[nodiscard]] std::size_t recorded_intents() const { return store_.intents(); }
-    /// Writes that the store was asked for.
+    /// Returns the number of writes requested from the store.
     [[nodiscard]] std::size_t state_changes() const { return store_.writes(); }
-    /// Called when a transaction of that kind (commit_kind()) was applied and its reply lost.
+    /// Called when a transaction was applied and its reply lost, with its kind (commit_kind()).
     std::function<void(const std::string& kind)> on_commit_reply_lost;
 
-    // --- For messages of failures.
+    // --- Failure messages.
 
-    /// A job that only the leader's cluster state or only the store has; "" if there is none.
+    /// Describes a job that only the leader's cluster state or only the store has; "" if there is
+    /// none.
     std::string inconsistent_job();
     [[nodiscard]] std::string describe_running() const { return workers_.describe(); }
-    /// The jobs as the leader knows them.
+    /// Describes the jobs in the leader's cluster state.
     std::string describe_cluster_state();
 
   private:
     struct Controller;  // tests/cluster_simulation_controller.h
-    /// What a new leader has read so far of the records.
+    /// The records that a new leader has read so far.
     struct LoadProgress {
-        Millis began = 0;            // when it read the first page
-        std::uint64_t revision = 0;  // of the first page
+        Millis began = 0;            ///< when it read the first page
+        std::uint64_t revision = 0;  ///< revision of the store at the first page
         std::map<std::string, SimulatedKeyValueStore::StoredValue> records;
-        std::size_t prefix = 0;  // the list that is being read
-        std::string after;       // the last key of the pages so far
+        std::size_t prefix = 0;  ///< index of the prefix that is being listed
+        std::string after;       ///< the last key read with this prefix
     };
     /// When a call arrives at the cloud, and whether its reply is lost.
     struct CloudDelivery {
         Millis arrive_at = 0;
         bool lost = false;
     };
-    /// How a transaction travels to the store and its reply back.
+    /// When a transaction arrives at the store, and whether its reply is lost.
     struct CommitDelivery {
         Millis arrive_at = 0;
-        bool late = false;                // it arrives after it was given up
-        bool lost = false;                // the reply is lost
-        bool only_reply_is_lost = false;  // because of the fault lost_commit_replies
+        bool late = false;                ///< it arrives after the commit timed out
+        bool lost = false;                ///< the reply is lost
+        bool only_reply_is_lost = false;  ///< because of the fault lost_commit_replies
     };
-    /// How commands travel to a machine and the reply back.
+    /// When commands arrive at a machine, and whether the reply is lost.
     struct CommandDelivery {
         Millis arrive_at = 0;
-        bool delayed = false;  // because of the fault delayed_commands
-        bool lost = false;     // the reply is lost
+        bool delayed = false;  ///< because of the fault delayed_commands
+        bool lost = false;     ///< the reply is lost
     };
-    /// A heartbeat that is delivered once the next leader begins.
+    /// A heartbeat that is delivered once the next leader has loaded its records.
     struct HeldHeartbeat {
         wire::Heartbeat heartbeat;
-        std::size_t controller = SIZE_MAX;  // the one it was sent to; SIZE_MAX: a copy, to all
+        /// Index of the receiver. SIZE_MAX: a copy for all controllers.
+        std::size_t controller = SIZE_MAX;
         bool follows_reply = false;
         std::size_t process_generation = 0;
     };
-    /// A heartbeat that a worker has sent, and the life of the worker that sent it.
+    /// A heartbeat in flight, with the incarnation and the process of the worker that sent it.
     struct SentHeartbeat {
         std::string machine;
         Millis sent_at = 0;
@@ -279,7 +290,7 @@
         std::size_t process_generation = 0;
     };
 
-    // Shard holders, which are the controllers 0 and 1 (cluster_simulation_holders.cpp).
+    // Shard holders, which are controllers 0 and 1 (cluster_simulation_holders.cpp).
     void start_holder(std::size_t index);
     void tick_holder(std::size_t index, std::uint64_t incarnation);
     [[nodiscard]] std::size_t holder_index(const std::string& name) const;
@@ -350,8 +361,8 @@
     void count_held_heartbeat(const HeldHeartbeat& held);
     void deliver_held_heartbeat(const HeldHeartbeat& held);
 
-    // A call that is never executed or answered arrives then.
-    static constexpr Millis kAfterTheEnd = 1'000'000'000;
+    /// Delay of a call that is never executed or answered: beyond the end of every simulation.
+    static constexpr Millis kBeyondSimulationEnd = 1'000'000'000;
 
     SimulationContext context_;
     wire::Settings settings_;
@@ -377,16 +388,16 @@
     SendFault send_fault_ = SendFault::none;
     std::vector<std::string> provisioned_types_;
 
-    Millis watch_delivered_at_ = 0;      // the last change so far; they arrive in order
-    Millis watch_lost_until_ = 0;        // it delivers nothing
-    Millis watch_from_ = 0;              // it goes on then, after a list of all open records
-    Millis open_records_listed_at_ = 0;  // when that list was read
+    Millis watch_delivered_at_ = 0;  ///< when the latest change arrives; changes arrive in order
+    Millis watch_lost_until_ = 0;    ///< the watch delivers no changes before that
+    Millis watch_resumes_at_ = 0;    ///< after a list of all open records
+    Millis open_records_listed_at_ = 0;  ///< when that list was read
 
     std::unique_ptr<ForwardingSimulation> forwarding_;
     std::vector<HeldHeartbeat> held_heartbeats_;
     std::size_t heartbeat_copies_ = 0, answered_heartbeat_copies_ = 0;
-    std::size_t replies_by_old_ = 0, replies_by_responders_ = 0;
-    std::size_t cancellations_confirmed_beside_old_ = 0;
+    std::size_t replies_by_old_leaders_ = 0, replies_by_responders_ = 0;
+    std::size_t cancellations_confirmed_beside_old_leaders_ = 0;
 };
 
 }  // namespace nickelramp::test
--- a/tests/cluster_simulation_calls.cpp
+++ b/tests/cluster_simulation_calls.cpp
@@ -1,4 +1,4 @@
-// Controllers' calls to the cloud, and their commands to workers.
+// Calls of controllers to the cloud, and their commands to workers.
 #include <algorithm>
 
 #include "tests/cluster_simulation_controller.h"
@@ -8,19 +8,19 @@
 using wire::Command;
 
 namespace {
-constexpr Millis kCloudCallTravels = 300, kCloudTimeout = 4'000;
-constexpr Millis kCommandTravels = 10, kCommandTimeout = 2'000, kLatestCommand = 60'000;
+constexpr Millis kMaxCloudCallDelay = 300, kCloudTimeout = 4'000;
+constexpr Millis kMaxCommandDelay = 10, kCommandTimeout = 2'000, kMaxLateCommandDelay = 60'000;
 }  // namespace
 
 ClusterSimulation::CloudDelivery ClusterSimulation::cloud_delivery() {
     const Faults& faults = context_.faults;
-    if (faults.cloud_down) return {now() + kAfterTheEnd, true};
+    if (faults.cloud_down) return {now() + kBeyondSimulationEnd, true};
     const Millis held = send_fault();
     const bool late = held > 0 || context_.chance(faults.late_cloud_calls);
     const bool lost = late || context_.chance(faults.lost_cloud_replies);
     if (held > 0) return {now() + held, lost};
     if (late) return {now() + kCloudTimeout + context_.delay(56'000), lost};
-    return {now() + context_.delay(kCloudCallTravels), lost};
+    return {now() + context_.delay(kMaxCloudCallDelay), lost};
 }
 
 void ClusterSimulation::Controller::provision_machines(
@@ -30,9 +30,9 @@
     ClusterSimulation& owner = simulation;
     owner.provisioned_types_.push_back(type);
     const CloudDelivery delivery = owner.cloud_delivery();
-    const ProvisionRequest asked{request, type, zone, spot, count};
-    owner.context_.at(delivery.arrive_at, [&owner, asked, done, lost = delivery.lost] {
-        const cloud::ProvisionReply reply = owner.cloud_.provision(asked);
+    const ProvisionRequest provision_request{request, type, zone, spot, count};
+    owner.context_.at(delivery.arrive_at, [&owner, provision_request, done, lost = delivery.lost] {
+        const cloud::ProvisionReply reply = owner.cloud_.provision(provision_request);
         if (lost) return;
         for (const std::string& name : reply.machines)
             owner.workers_.machine(name).named_in_rental_reply = true;
@@ -49,8 +49,8 @@
     ClusterSimulation& owner = simulation;
     const CloudDelivery delivery = owner.cloud_delivery();
     owner.context_.at(delivery.arrive_at,
-                      [&owner, names, done, lost = delivery.lost, asked_by = term] {
-                          owner.cloud_.release(names, asked_by);
+                      [&owner, names, done, lost = delivery.lost, releasing_term = term] {
+                          owner.cloud_.release(names, releasing_term);
                           if (!lost) done(owner.now(), true);
                       });
     if (delivery.lost)
@@ -62,17 +62,17 @@
     delivery.delayed = context_.chance(context_.faults.delayed_commands);
     delivery.lost = delivery.delayed || context_.chance(context_.faults.lost_command_replies);
     delivery.arrive_at =
-        now() + context_.delay(delivery.delayed ? kLatestCommand : kCommandTravels);
+        now() + context_.delay(delivery.delayed ? kMaxLateCommandDelay : kMaxCommandDelay);
     const SimulatedMachine* receiver = workers_.find(machine);
     const Partition* partition = receiver == nullptr ? nullptr : network_.partition_of(*receiver);
     if (partition == nullptr) return delivery;
     delivery.lost = true;
-    delivery.arrive_at =
-        partition->delays_commands ? partition->until + context_.delay(500) : now() + kAfterTheEnd;
+    delivery.arrive_at = partition->delays_commands ? partition->until + context_.delay(500)
+                                                    : now() + kBeyondSimulationEnd;
     return delivery;
 }
 
-// The worker's reply; none if the commands do not reach it.
+// Returns the worker's reply, or nothing if the commands do not reach the worker.
 std::optional<cluster::CommandReply> ClusterSimulation::execute_commands(
     const std::string& name, std::uint64_t token, std::uint64_t incarnation,
     const std::vector<Command>& commands, bool delayed) {
@@ -80,7 +80,7 @@
     if (machine == nullptr || !machine->running() || now() < machine->inbound_blocked_until ||
         now() < machine->commands_blocked_until)
         return std::nullopt;
-    workers_.advance(*machine);  // its incarnation may have ended by now
+    workers_.advance(*machine);  // its incarnation may have ended meanwhile
     cluster::CommandReply reply;
     reply.delivery = cluster::DeliveryStatus::delivered;
     reply.executed = token >= machine->token && incarnation == machine->incarnation;
@@ -109,7 +109,7 @@
             done(context.now(), reply);
         });
     };
-    // As the lease guard of controller::Controller decides.
+    // The same decision as that of the lease guard of controller::Controller.
     const bool starts = std::any_of(commands.begin(), commands.end(), [](const Command& command) {
         return command.op == Command::Op::start;
     });
@@ -117,7 +117,7 @@
     if (leads_by_lease && (starts ? context.now() >= leads_until : !owner.may_respond(*this)))
         return refuse_after(1);
     if (context.faults.refused_commands > 0 && context.chance(context.faults.refused_commands))
-        return refuse_after(context.delay(kCommandTravels));
+        return refuse_after(context.delay(kMaxCommandDelay));
     const CommandDelivery delivery = owner.command_delivery(machine);
     auto replied = std::make_shared<bool>(false);
     context.at(delivery.arrive_at, [=, &owner] {
@@ -126,7 +126,7 @@
         if (!reply || delivery.lost) return;
         *replied = true;
         SimulationContext& shared = owner.context_;
-        shared.after(shared.delay(kCommandTravels),
+        shared.after(shared.delay(kMaxCommandDelay),
                      [&owner, reply = *reply, done] { done(owner.now(), reply); });
     });
     context.after(kCommandTimeout, [&context, done, replied] {
--- a/tests/cluster_simulation_controller.h
+++ b/tests/cluster_simulation_controller.h
@@ -1,26 +1,30 @@
-// A controller of ClusterSimulation. Only its own source files include this.
+/// @file
+/// A controller of ClusterSimulation. Only the source files of ClusterSimulation include this
+/// header.
 #pragma once
 #include "tests/cluster_simulation.h"
 
 namespace nickelramp::test {
 
-/// A controller: the leader of a term or a shard holder. Its calls go into the simulation.
+/// A controller: the leader of a term or a shard holder. Its calls to the key-value store, the
+/// cloud and workers are simulated.
 struct ClusterSimulation::Controller : cluster::ServiceGateway {
     Controller(ClusterSimulation& owner, std::size_t number) : simulation(owner), index(number) {}
 
     ClusterSimulation& simulation;
-    std::size_t index;  // in controllers_
+    std::size_t index;  ///< in controllers_
     std::unique_ptr<control::ControlLoop> control_loop;
-    // Of the two shard holders, which never lead.
+    /// Null except in the two shard holders, which never lead.
     std::unique_ptr<control::ShardHolder> shard_holder;
     std::unique_ptr<partition::PartitionResponder> partition_responder;
     Millis last_leader_status_at = 0;
     std::uint64_t term = 0;
     bool leads = false;
-    bool instances_listed = false;  // it has read the cloud's list
-    Millis responds_until = 0;      // deposed; without leases
-    // With leases: until when it certainly leads by its own clock, how fresh its view of the
-    // store is, when its lease expires there, until when the store refuses it and it is frozen.
+    bool instances_listed = false;  ///< whether it has read the cloud's list
+    Millis responds_until = 0;      ///< end of its responses after it was deposed; without leases
+    /// With leases: the time until which it certainly leads by its own clock, the time of its
+    /// latest view of the store, the time when its lease expires in the store, and the times until
+    /// which the store refuses it and until which it is frozen.
     Millis leads_until = kNever, state_seen_at = 0, lease_end = 0, rejected_until = 0,
            frozen_until = 0;
 
--- a/tests/cluster_simulation_heartbeats.cpp
+++ b/tests/cluster_simulation_heartbeats.cpp
@@ -1,4 +1,4 @@
-// Heartbeats of workers, and what controllers reply to them.
+// Heartbeats of workers, and the replies of controllers.
 #include <utility>
 
 #include "tests/cluster_simulation_controller.h"
@@ -6,10 +6,10 @@
 namespace nickelramp::test {
 
 namespace {
-constexpr Millis kMessageTravels = 10;
-constexpr Millis kShortestInterval = 2'300, kIntervalSpread = 1'400;
-constexpr Millis kReplyTimeout = 4'000;  // a worker ignores a reply that comes later
-constexpr Millis kThawsWithin = 500;
+constexpr Millis kMaxMessageDelay = 10;
+constexpr Millis kMinHeartbeatInterval = 2'300, kHeartbeatIntervalSpread = 1'400;
+constexpr Millis kReplyTimeout = 4'000;  // workers ignore later replies
+constexpr Millis kMaxThawDelay = 500;
 }  // namespace
 
 void ClusterSimulation::on_machine_booted(const std::string& name) {
@@ -18,19 +18,20 @@
     send_heartbeat(name, machine.process_generation);
 }
 
-// Sends one heartbeat and schedules the next, as long as the worker's process lives.
+// Sends one heartbeat and schedules the next, for as long as the worker's process runs.
 void ClusterSimulation::send_heartbeat(const std::string& name, std::size_t process_generation) {
     SimulatedMachine& machine = workers_.machine(name);
     if (!machine.exists() || machine.process_generation != process_generation) return;
     auto send_next = [this, name, process_generation] { send_heartbeat(name, process_generation); };
     if (const Partition* partition = network_.partition_of(machine);
         partition != nullptr && partition->freezes_machines) {
-        context_.at(partition->until + context_.delay(kThawsWithin), send_next);
+        context_.at(partition->until + context_.delay(kMaxThawDelay), send_next);
         return;
     }
     workers_.advance(machine);
-    context_.after(kShortestInterval + context_.delay(kIntervalSpread), send_next);
-    // Unanswered, it goes on to the next controller, as the protocol says.
+    context_.after(kMinHeartbeatInterval + context_.delay(kHeartbeatIntervalSpread), send_next);
+    // After an unanswered heartbeat, a worker switches to the next controller, as the protocol
+    // says.
     if (machine.unanswered) machine.target = (machine.target + 1) % controllers_.size();
     const bool follows_reply = std::exchange(machine.last_heartbeat_answered, false);
     machine.unanswered = true;
@@ -53,7 +54,7 @@
 void ClusterSimulation::send_to_target(const SimulatedMachine& sender,
                                        const wire::Heartbeat& heartbeat, bool follows_reply) {
     const SentHeartbeat sent{sender.name, now(), sender.incarnation, sender.process_generation};
-    context_.after(context_.delay(kMessageTravels), [this, sent, heartbeat, follows_reply] {
+    context_.after(context_.delay(kMaxMessageDelay), [this, sent, heartbeat, follows_reply] {
         SimulatedMachine& machine = workers_.machine(sent.machine);
         const bool inbound_blocked = now() < machine.inbound_blocked_until;
         context_.coverage.heartbeats_before_rental_reply += machine.named_in_rental_reply ? 0 : 1;
@@ -61,9 +62,10 @@
             deliver_heartbeat(machine.target, heartbeat, follows_reply);
         if (machine.process_generation != sent.process_generation || inbound_blocked) return;
         if (reply.status != 200) return on_heartbeat_refused(machine, reply);
-        EXPECT_GE(reply.token, heartbeat.token) << "a reply that the worker must drop";
+        EXPECT_GE(reply.token, heartbeat.token)
+            << "the reply's fencing token is older than the worker's";
         if (context_.chance(context_.faults.lost_heartbeats)) return;
-        context_.after(context_.delay(kMessageTravels), [this, sent, reply] {
+        context_.after(context_.delay(kMaxMessageDelay), [this, sent, reply] {
             SimulatedMachine& receiver = workers_.machine(sent.machine);
             if (receiver.process_generation != sent.process_generation) return;
             receiver.unanswered = false;
@@ -73,7 +75,8 @@
     });
 }
 
-// The worker goes on to whoever the reply names, or else to the newest leader if it reaches it.
+// Switches the worker to the shard holder that the reply names, or else to the newest leader if the
+// worker can reach it.
 void ClusterSimulation::on_heartbeat_refused(SimulatedMachine& machine,
                                              const machines::HeartbeatReply& reply) {
     machine.unanswered = false;
@@ -84,7 +87,7 @@
     }
 }
 
-// A reply 200 has reached the worker.
+// Handles a reply 200 that has reached the worker.
 void ClusterSimulation::receive_reply(const SentHeartbeat& sent,
                                       const machines::HeartbeatReply& reply) {
     SimulatedMachine& machine = workers_.machine(sent.machine);
@@ -97,7 +100,7 @@
     workers_.execute(machine, reply.commands);
 }
 
-// What the controller replies, as shard holder, leader or partition responder.
+// Returns the controller's reply, as shard holder, leader or partition responder.
 machines::HeartbeatReply ClusterSimulation::deliver_heartbeat(
     std::size_t index, const wire::Heartbeat& heartbeat,
     const machines::HeartbeatArrival& arrival) {
@@ -109,13 +112,13 @@
     if (responds(controller)) {
         reply = controller.control_loop->on_heartbeat(heartbeat, arrival, now());
         const bool old = leader_leases_ && controller.term < term_;
-        replies_by_old_ += reply.status == 200 && old ? 1 : 0;
+        replies_by_old_leaders_ += reply.status == 200 && old ? 1 : 0;
     }
     if (controller.partition_responder && reply.status != 200) {
         partition::PartitionResponder& responder = *controller.partition_responder;
-        const Millis heard =
+        const Millis received =
             network_.holder_partitioned(index) ? controller.last_leader_status_at : now();
-        responder.update(heard, heard, now());
+        responder.update(received, received, now());
         if (const auto token = responder.token_for_reply(heartbeat, arrival.follows_reply, now())) {
             reply = {200, "", *token, {}};
             ++replies_by_responders_;
@@ -150,25 +153,26 @@
 
 void ClusterSimulation::send_to_forwarder(SimulatedMachine& sender,
                                           const wire::Heartbeat& heartbeat) {
-    // A forwarder that does not answer is left for the next, as the protocol says.
-    auto go_on = [this](SimulatedMachine& machine) {
+    // A worker switches to the next forwarder if one does not answer, as the protocol says.
+    auto use_next_forwarder = [this](SimulatedMachine& machine) {
         machine.forwarder = (machine.forwarder + 1) % forwarding_->size();
     };
     if (context_.chance(context_.faults.lost_heartbeats) ||
         now() < sender.heartbeats_blocked_until) {
         sender.answered_term = 0;
-        return go_on(sender);
+        return use_next_forwarder(sender);
     }
     const std::uint64_t follows_term = std::exchange(sender.answered_term, 0);
     const SentHeartbeat sent{sender.name, now(), sender.incarnation, sender.process_generation};
-    auto on_reply = [this, sent, go_on](const machines::HeartbeatReply& reply, std::uint64_t term) {
+    auto on_reply = [this, sent, use_next_forwarder](const machines::HeartbeatReply& reply,
+                                                     std::uint64_t term) {
         SimulatedMachine& machine = workers_.machine(sent.machine);
-        const bool heard = reply.status == 200 && now() >= machine.inbound_blocked_until &&
-                           !context_.chance(context_.faults.lost_heartbeats);
+        const bool received = reply.status == 200 && now() >= machine.inbound_blocked_until &&
+                              !context_.chance(context_.faults.lost_heartbeats);
         if (machine.process_generation != sent.process_generation ||
             now() - sent.sent_at > kReplyTimeout)
             return;
-        if (!heard) return go_on(machine);
+        if (!received) return use_next_forwarder(machine);
         machine.answered_term = term;
         receive_reply(sent, reply);
     };
--- a/tests/cluster_simulation_held_heartbeats.cpp
+++ b/tests/cluster_simulation_held_heartbeats.cpp
@@ -7,15 +7,15 @@
 namespace nickelramp::test {
 
 namespace {
-constexpr Millis kEarliestCopy = 500, kLatestCopy = 90'000;
-constexpr std::size_t kMostHeld = 400;
-constexpr Millis kSoon = 3'000, kMuchLater = 40'000;
+constexpr Millis kMinCopyDelay = 500, kMaxExtraCopyDelay = 90'000;
+constexpr std::size_t kMaxHeldHeartbeats = 400;
+constexpr Millis kShortDelay = 3'000, kLongDelay = 40'000;
 }  // namespace
 
-// Copies come over connections of their own, whose replies nobody reads.
+// Copies arrive over separate connections, and their replies are ignored.
 void ClusterSimulation::send_late_copies(const wire::Heartbeat& heartbeat) {
     while (context_.chance(context_.faults.late_heartbeat_copies)) {
-        context_.after(kEarliestCopy + context_.delay(kLatestCopy),
+        context_.after(kMinCopyDelay + context_.delay(kMaxExtraCopyDelay),
                        [this, heartbeat] { deliver_late_copy(heartbeat); });
     }
 }
@@ -40,32 +40,35 @@
         for (std::size_t i = 0; i < controllers_.size(); ++i) {
             if (!controllers_[i]->leads) continue;
             const auto reply = deliver_heartbeat(i, heartbeat, false);
-            EXPECT_TRUE(reply.commands.empty()) << "commands in reply to a copy";
+            EXPECT_TRUE(reply.commands.empty())
+                << "the leader sent commands in reply to a copy of a heartbeat";
             answered_heartbeat_copies_ += reply.status == 200 ? 1 : 0;
         }
     });
 }
 
-// A copy for all controllers, or the heartbeat itself on its way to one of them.
+// Holds a copy for all controllers (`controller` is SIZE_MAX), or the heartbeat itself on its way
+// to one of them.
 void ClusterSimulation::hold_for_next_leader(const wire::Heartbeat& heartbeat,
                                              std::size_t controller, bool follows_reply) {
-    if (held_heartbeats_.size() >= kMostHeld) return;
+    if (held_heartbeats_.size() >= kMaxHeldHeartbeats) return;
     const std::size_t generation = workers_.machine(heartbeat.machine).process_generation;
     held_heartbeats_.push_back({heartbeat, controller, follows_reply, generation});
 }
 
-// Copies arrive as the next leader begins and again when it has acted; a heartbeat that was on its
-// way arrives only then. Later the newest leader gets each of them once more.
+// Delivers copies as the next leader begins and again after a short and a long delay. Heartbeats
+// that were on their way arrive only after the long delay. The newest leader also receives each of
+// them once more within the long delay.
 void ClusterSimulation::deliver_held_heartbeats() {
     for (const HeldHeartbeat& held : std::exchange(held_heartbeats_, {})) {
         count_held_heartbeat(held);
         auto deliver = [this, held] { deliver_held_heartbeat(held); };
         if (held.controller == SIZE_MAX) {
             deliver();
-            context_.after(context_.delay(kSoon), deliver);
+            context_.after(context_.delay(kShortDelay), deliver);
         }
-        context_.after(context_.delay(kMuchLater), deliver);
-        context_.after(context_.delay(kMuchLater), [this, heartbeat = held.heartbeat] {
+        context_.after(context_.delay(kLongDelay), deliver);
+        context_.after(context_.delay(kLongDelay), [this, heartbeat = held.heartbeat] {
             deliver_heartbeat(controllers_.size() - 1, heartbeat, false);
         });
     }
--- a/tests/cluster_simulation_store.cpp
+++ b/tests/cluster_simulation_store.cpp
@@ -1,4 +1,4 @@
-// Controllers' calls to the key-value store, and the leader's watch of open records.
+// Calls of controllers to the key-value store, and the leader's watch of open records.
 #include <algorithm>
 
 #include "tests/cluster_simulation_controller.h"
@@ -9,19 +9,19 @@
 
 namespace {
 constexpr const char* kJobKeyPrefix = "job/";
-constexpr Millis kRequestTravels = 10, kReplyTravels = 5, kWatchTravels = 20;
-constexpr Millis kCommitTimeout = 2'500, kLatestCommit = 40'000;
-constexpr Millis kRetryNoticeAfter = 500;
+constexpr Millis kMaxRequestDelay = 10, kMaxReplyDelay = 5, kMaxWatchDelay = 20;
+constexpr Millis kCommitTimeout = 2'500, kMaxLateCommitDelay = 40'000;
+constexpr Millis kNotificationRetryDelay = 500;
 }  // namespace
 
-// --- What happens when a transaction is applied.
+// --- Effects of an applied transaction.
 
 void ClusterSimulation::on_record_write(const std::string& key, const Json& value) {
     if (key.rfind(kJobKeyPrefix, 0) != 0) return;
     const std::string id = key.substr(std::string(kJobKeyPrefix).size());
     const std::string state = wire::text_field(value, "final").value_or("");
     if (state == "withdrawn") {
-        cancellations_confirmed_beside_old_ +=
+        cancellations_confirmed_beside_old_leaders_ +=
             std::any_of(controllers_.begin(), controllers_.end(), [&](const auto& controller) {
                 return controller->control_loop && controller->term < term_ &&
                        may_respond(*controller);
@@ -33,11 +33,11 @@
 void ClusterSimulation::on_record_delete(const std::string& key) {
     const std::string id = jobs::job_id_of_open_key(key);
     if (id.empty()) return;
-    const Millis most = context_.faults.deletion_notice_delay;
-    const Millis extra = most > 0 ? context_.delay(most) : 0;
-    const Millis heard_at = std::max(watch_delivery_time(), watch_from_) + extra;
-    context_.at(heard_at, [this, id, deleted_at = now()] {
-        // If the watch has missed it, it is in the list that was read afterwards.
+    const Millis max_delay = context_.faults.deletion_notice_delay;
+    const Millis extra = max_delay > 0 ? context_.delay(max_delay) : 0;
+    const Millis notified_at = std::max(watch_delivery_time(), watch_resumes_at_) + extra;
+    context_.at(notified_at, [this, id, deleted_at = now()] {
+        // A deletion that the watch has missed is covered by the list that was read afterwards.
         const bool watched = deleted_at >= open_records_listed_at_ && now() >= watch_lost_until_;
         if (leader() != nullptr && watched) leader()->on_open_record_deleted(id, now());
     });
@@ -45,10 +45,10 @@
 
 // --- The watch.
 
-// When the leader sees a change of now.
+// Returns when the leader receives a change that is made now.
 Millis ClusterSimulation::watch_delivery_time() {
     const Millis delay = context_.faults.watch_delay;
-    const Millis time = now() + context_.delay(kWatchTravels + delay);
+    const Millis time = now() + context_.delay(kMaxWatchDelay + delay);
     if (delay == 0) return time;
     watch_delivered_at_ = std::max(watch_delivered_at_, time);
     return watch_delivered_at_;
@@ -60,8 +60,8 @@
         if (leader() == nullptr || stored == nullptr || now() < watch_lost_until_) return;
         const Controller& controller = *leading_controller();
         if (!state_service_answers(controller) || now() < controller.frozen_until ||
-            now() < watch_from_)
-            return notify_leader(key, kRetryNoticeAfter);
+            now() < watch_resumes_at_)
+            return notify_leader(key, kNotificationRetryDelay);
         leader()->on_open_record(*jobs::decode_open_record(stored->value), stored->version, now(),
                                  now());
         leader()->tick(now());
@@ -77,13 +77,13 @@
 
 void ClusterSimulation::reload_open_records(Millis after) {
     open_records_listed_at_ = now();
-    watch_from_ = std::max(watch_from_, now() + after);
+    watch_resumes_at_ = std::max(watch_resumes_at_, now() + after);
     context_.after(after, [this, all = store_.open_records(), term = term_] {
         if (leader() != nullptr && term == term_) leader()->on_open_list(all, now(), now());
     });
 }
 
-// --- Calls.
+// --- Calls to the store.
 
 bool ClusterSimulation::loses_reply_of(const kvstore::Transaction& transaction) {
     const Faults& faults = context_.faults;
@@ -99,7 +99,8 @@
     const Millis held = send_fault();
     delivery.lost = held > 0 || context_.chance(context_.faults.unknown_commits);
     const bool slow = held == 0 && delivery.lost && context_.chance(0.5);
-    delivery.arrive_at = now() + held + context_.delay(slow ? kLatestCommit : kRequestTravels);
+    delivery.arrive_at =
+        now() + held + context_.delay(slow ? kMaxLateCommitDelay : kMaxRequestDelay);
     delivery.late = delivery.arrive_at > now() + kCommitTimeout;
     delivery.only_reply_is_lost = !delivery.lost && loses_reply_of(transaction);
     delivery.lost |= delivery.only_reply_is_lost;
@@ -120,7 +121,7 @@
     }
     if (delivery.late) ++(applied ? coverage.late_commits_applied : coverage.late_commits_refused);
     if (delivery.lost) return;
-    context_.after(context_.delay(kReplyTravels), [this, reply, done] { done(now(), reply); });
+    context_.after(context_.delay(kMaxReplyDelay), [this, reply, done] { done(now(), reply); });
 }
 
 void ClusterSimulation::Controller::commit(
@@ -132,7 +133,7 @@
     const bool may_write = !owner.leader_leases_ || context.now() < leads_until;
     if (!owner.state_service_answers(*this) || !may_write ||
         !owner.store_.take_write_budget(transaction.writes.size())) {
-        context.after(context.delay(kRequestTravels), [&context, done] {
+        context.after(context.delay(kMaxRequestDelay), [&context, done] {
             kvstore::CommitReply reply;
             reply.status = kvstore::Status::refused;
             done(context.now(), reply);
@@ -153,7 +154,7 @@
     const std::string& key, std::function<void(Millis, const kvstore::GetReply&)> done) {
     trace("get", key);
     SimulationContext& context = simulation.context_;
-    context.after(context.delay(kRequestTravels), [this, &context, key, done] {
+    context.after(context.delay(kMaxRequestDelay), [this, &context, key, done] {
         kvstore::GetReply reply;
         reply.status = kvstore::Status::refused;
         if (!simulation.state_service_answers(*this)) return done(context.now(), reply);
@@ -168,7 +169,7 @@
     const std::string& prefix, std::function<void(Millis, const kvstore::ListReply&)> done) {
     trace("list", prefix);
     SimulationContext& context = simulation.context_;
-    const Millis wait = context.delay(kRequestTravels + context.faults.list_delay);
+    const Millis wait = context.delay(kMaxRequestDelay + context.faults.list_delay);
     context.after(wait, [this, &context, prefix, done] {
         kvstore::ListReply reply;
         reply.status = kvstore::Status::refused;
