--- a/src/drain/plan.cpp
+++ b/src/drain/plan.cpp
@@ -21,7 +21,7 @@
 }
 }  // namespace
 
-// Each of these reads one field, if it is there; false: it is invalid.
+// Each of the following functions reads one optional field and returns false if it is invalid.
 static bool parse_machines(const Json& body, Request& request) {
     const Json* list = wire::field(body, "machines");
     if (list == nullptr) return true;
@@ -49,7 +49,7 @@
 }
 
 static bool parse_at_once(const Json& body, Request& request) {
-    if (wire::field(body, "at_once") == nullptr) return !request.all;  // all needs several waves
+    if (wire::field(body, "at_once") == nullptr) return !request.all;  // "all" requires "at_once"
     const auto count = wire::count_field(body, "at_once").value_or(0);
     if (count < 1 || count > kMaxMachines) return false;
     request.at_once = static_cast<std::uint32_t>(count);
--- a/src/drain/plan.h
+++ b/src/drain/plan.h
@@ -1,6 +1,6 @@
 /// @file
-/// A drain plan: which tasks leave the machines that are to be emptied, where each would go, when
-/// each machine would be empty, and which objectives that would break. With its JSON form on the
+/// A drain plan: which tasks would leave the drained machines, where each would go, when each
+/// machine would be empty, and which objectives would be violated. Also its JSON form on the
 /// administration API.
 #pragma once
 #include <cstdint>
@@ -17,39 +17,41 @@
 /// Path of the plans on the administration API.
 inline constexpr const char* kPlansPath = "/admin/plans";
 
-/// Which machines to drain: by name, or all of a zone, of a type, of both, or all there are.
+/// Which machines to drain: by name, by zone, by type, by zone and type, or all of them.
 struct Request {
-    std::string id;  ///< the caller chooses it
+    std::string id;  ///< chosen by the caller
     std::vector<std::string> machines;
     std::string zone, type;
     bool all = false;
-    std::uint32_t at_once = 0;  ///< machines in a wave; 0: all in one
+    std::uint32_t at_once = 0;  ///< machines per wave; 0: all in one wave
     bool operator==(const Request&) const = default;
 };
-/// Reads a request's JSON form. Nothing if it is invalid: then `error` names the field at fault.
+/// Parses the JSON form of a request. Returns nothing if it is invalid, and sets `error` to the
+/// name of the invalid field.
 std::optional<Request> parse_request(const wire::Json& body, std::string& error);
 
-/// What becomes of a task that leaves.
+/// How a task leaves a drained machine.
 enum class MoveKind {
-    moves_elsewhere,        ///< a replica: stops and starts elsewhere
-    checkpoints_and_moves,  ///< stops, saves and goes on elsewhere; of a gang, all members do
-    runs_to_end,            ///< stays to its end, since what it has done could not be saved
-    already_stopping,       ///< was told to stop before
+    moves_elsewhere,        ///< a replica of a service: stops and starts elsewhere
+    checkpoints_and_moves,  ///< writes a checkpoint and resumes elsewhere; all of a gang do so
+    runs_to_end,            ///< stays until it ends: has no checkpoints, or ends before its wave
+    already_stopping,       ///< was already being stopped
 };
-/// The name of the kind in the JSON form.
+/// Returns the name of the kind in the JSON form.
 const char* name(MoveKind kind);
 
-/// How one task leaves. Times are seconds from the plan's beginning.
+/// The move of one task. Times are seconds from the plan's beginning.
 struct Move {
     std::string job;
     std::uint32_t task = 0;
     MoveKind kind = MoveKind::moves_elsewhere;
-    /// A machine; a type and zone if one must be provisioned; empty: it stays, or nothing fits.
+    /// The target: a machine, or a type and zone if a machine must be provisioned. Empty if the
+    /// task stays or no machine fits.
     std::string to;
     bool provisioned = false;
     double stops_s = 0, restarts_s = 0;
-    std::optional<double> ends_s;  ///< of a task that has an end
-    /// From how many completed tasks of its class its run time is estimated.
+    std::optional<double> ends_s;  ///< absent for replicas of services
+    /// Number of completed tasks of its class from which its run time is estimated.
     std::size_t observed_completions = 0;
 };
 
@@ -61,7 +63,7 @@
     std::vector<Move> moves;
 };
 
-/// An objective that the plan would break, or a task that would find no place.
+/// An objective or deadline that the plan would violate, or a task that fits no machine.
 struct Violation {
     std::string job;
     std::uint32_t task = 0;
@@ -73,33 +75,35 @@
 struct PlannedMachines {
     std::string type, zone;
     std::uint32_t count = 0;
-    double price = 0;  ///< an hour, each
+    double price = 0;  ///< per machine and hour
 };
 
 enum class PlanState {
-    planning,  ///< some machines are still to be looked at
+    planning,  ///< some machines have not been examined yet
     ready,
-    refused,  ///< it has violations
+    refused,  ///< the plan has violations
 };
-/// The name of the state in the JSON form.
+/// Returns the name of the state in the JSON form.
 const char* name(PlanState state);
 
 struct Plan {
     Request request;
     PlanState state = PlanState::planning;
     std::vector<Step> steps;
-    std::vector<std::string> skipped_machines;  ///< name and reason
+    std::vector<std::string> skipped_machines;  ///< entries of the form "name: reason"
     std::vector<Violation> violations;
     std::vector<PlannedMachines> provisioned_machines;
-    double empty_s = 0;  ///< when the last machine is empty
-    /// Of the machines that are provisioned, while those that they replace are still there.
+    double empty_s = 0;  ///< seconds until the last machine is empty
+    /// Cost of the provisioned machines from their request until the machines of their wave are
+    /// empty.
     double cost = 0;
 };
 
-/// The plan without its steps.
+/// Returns the summary of a plan, without its steps.
 wire::Json plan_json(const Plan& plan);
-/// With its steps from that one on, so many that the reply stays small; "next" says where the next
-/// page begins. All that is not steps is on the first page.
+/// Returns a page of a plan: the summary and a limited number of steps from step `from` on. "next"
+/// is the first step of the next page, if there is one. Violations, provisioned and skipped
+/// machines are on the first page only.
 wire::Json plan_page(const Plan& plan, std::size_t from);
 
 }  // namespace nickelramp::drain
--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -14,11 +14,12 @@
 using placement::Need;
 
 namespace {
-constexpr std::size_t kMostPlans = 16;
-constexpr std::size_t kTasksATurn = 100;
-constexpr std::size_t kMostRefusals = 200;
-constexpr double kStopS = scheduling::kStopOverhead / 1000.0;
-constexpr double kOverrun = 0.1;  // of its run time a task may still need that is past its forecast
+constexpr std::size_t kMaxPlans = 16;
+constexpr std::size_t kTasksPerTurn = 100;
+constexpr std::size_t kMaxViolations = 200;
+constexpr double kStopOverheadS = scheduling::kStopOverhead / 1000.0;
+// A task is assumed to need at least this share of its forecast run time, also past the forecast.
+constexpr double kMinRemainingFraction = 0.1;
 
 double since(Millis then, Millis now) { return static_cast<double>(now - then) / 1000.0; }
 }  // namespace
@@ -28,7 +29,7 @@
         return known->request == request ? RequestResult::already_known
                                          : RequestResult::id_conflict;
     }
-    if (drafts_.size() >= kMostPlans) {
+    if (drafts_.size() >= kMaxPlans) {
         auto done = std::find_if(drafts_.begin(), drafts_.end(), [](const auto& d) {
             return d->plan.state != PlanState::planning;
         });
@@ -55,7 +56,9 @@
     return out;
 }
 
-// Those with least on them go first: their places are free for the rest of the fleet soonest.
+// Orders the machines by their number of tasks, those of gangs and services first. Machines with
+// the fewest are drained first, so that their capacity is available to the rest of the cluster
+// soonest.
 void Planner::choose_machines(Draft& draft) {
     const Request& r = draft.plan.request;
     std::vector<Machine*> chosen;
@@ -101,7 +104,7 @@
     if (it == drafts_.end()) return 0;
     Draft& draft = **it;
     std::size_t looked = 0;
-    while (looked < kTasksATurn && draft.next < draft.queue.size()) {
+    while (looked < kTasksPerTurn && draft.next < draft.queue.size()) {
         const auto& [index, name] = draft.queue[draft.next++];
         ++looked;
         if (Machine* machine = cluster_.machine_by_index(index))
@@ -115,12 +118,12 @@
 
 std::size_t Planner::plan_machine(Draft& draft, Machine& machine, Millis now) {
     const std::uint32_t most = draft.plan.request.at_once;
-    if (most > 0 && draft.in_wave == most) {
+    if (most > 0 && draft.machines_in_wave == most) {
         draft.wave_from_s.push_back(draft.wave_empty_s.back());
         draft.wave_empty_s.push_back(draft.wave_empty_s.back());
-        draft.in_wave = 0;
+        draft.machines_in_wave = 0;
     }
-    ++draft.in_wave;
+    ++draft.machines_in_wave;
     Step step;
     step.machine = machine.name;
     if (machine.type != kNone) {
@@ -149,14 +152,14 @@
     move.observed_completions = forecast_.observed_completions(job);
     if (attempt.stop_wanted || job.state != jobs::JobState::open) {
         move.kind = MoveKind::already_stopping;
-        move.stops_s = move.restarts_s = attempt.stop_grace_s + kStopS;
+        move.stops_s = move.restarts_s = attempt.stop_grace_s + kStopOverheadS;
         return move;
     }
-    double left_s = 0;  // of its run, at the plan's beginning
+    double left_s = 0;  // remaining run time when the plan begins
     if (!job.is_service()) {
         const double run_s = forecast_.expected_run_s(job);
         const double ran_s = attempt.running_since == 0 ? 0 : since(attempt.running_since, now);
-        left_s = std::max(run_s - ran_s, kOverrun * run_s);
+        left_s = std::max(run_s - ran_s, kMinRemainingFraction * run_s);
     }
     const bool by_itself =
         !job.is_service() && (job.spec.checkpoint_s <= 0 || left_s <= step.from_s);
@@ -167,7 +170,7 @@
         return move;
     }
     move.kind = job.is_service() ? MoveKind::moves_elsewhere : MoveKind::checkpoints_and_moves;
-    move.stops_s = step.from_s + kStopS + (job.is_service() ? 0 : job.spec.save_s);
+    move.stops_s = step.from_s + kStopOverheadS + (job.is_service() ? 0 : job.spec.save_s);
     ZoneSpread& spread = spread_of(draft, job);
     if (machine.zone != kNone && spread.by_zone[machine.zone] > 0) --spread.by_zone[machine.zone];
     const Placement place = find_placement(draft, job, move.stops_s, now);
@@ -208,7 +211,7 @@
     for (const auto& attempt : job.attempts) {
         const Machine* machine = cluster_.machine_of(*attempt);
         if (attempt->live() && machine != nullptr && draft.leaving.count(machine->index) == 0)
-            s.stays_in = machine->zone;
+            s.staying_zone = machine->zone;
     }
     return s;
 }
@@ -216,13 +219,13 @@
 bool Planner::zone_allowed(Draft& draft, const Job& job, Index zone) {
     if (job.zone != kNone && zone != job.zone) return false;
     const ZoneSpread& s = spread_of(draft, job);
-    if (job.spec.one_zone && s.stays_in != kNone && zone != s.stays_in) return false;
+    if (job.spec.one_zone && s.staying_zone != kNone && zone != s.staying_zone) return false;
     if (!job.spec.spread || job.spec.tasks < 2) return true;
     return s.by_zone[zone] < (job.spec.tasks + 1) / 2;
 }
 
-// The place where it would run soonest of what is free, then of what the plan has hired, then on a
-// machine more.
+// Returns the placement with the lowest placement cost on a remaining machine. If there is none,
+// returns the earliest on a machine that the plan already provisions, or else one on a new machine.
 Planner::Placement Planner::find_placement(Draft& draft, const Job& job, double at_s, Millis now) {
     const Need need = placement::need_of(job);
     Placement best;
@@ -258,11 +261,12 @@
     return best.found ? best : provision_for(draft, job, at_s);
 }
 
-// Hired a boot before the wave, or now if that is later.
+// Provisions the cheapest machine that fits. It is requested one boot time before the wave begins,
+// or when the plan begins if that is later.
 Planner::Placement Planner::provision_for(Draft& draft, const Job& job, double at_s) {
     const Need need = placement::need_of(job);
     double least = std::numeric_limits<double>::infinity();
-    VirtualMachine bin;
+    VirtualMachine vm;
     for (Index t = 0; t < cluster_.types().size() && t < job.allowed_type.size(); ++t) {
         if (job.allowed_type[t] == 0 || rules_.reserved_for_other_work(job, t)) continue;
         for (const std::string& zone : cluster_.types()[t].zones) {
@@ -274,26 +278,26 @@
                     placement::hourly_cost_per_task(cluster_.types()[t], spot, need);
                 if (price >= least) continue;
                 least = price;
-                bin.kind = {t, z, spot};
+                vm.kind = {t, z, spot};
             }
         }
     }
-    if (bin.kind.type == kNone) return {};
-    const wire::MachineType& type = cluster_.types()[bin.kind.type];
-    bin.free = {type.cpus, type.gpus, type.memory_gb};
-    bin.wave = static_cast<std::uint32_t>(draft.wave_from_s.size() - 1);
-    bin.boots_until_s = std::max(type.boot_s, draft.wave_from_s.back());
-    draft.virtual_machines.push_back(std::move(bin));
+    if (vm.kind.type == kNone) return {};
+    const wire::MachineType& type = cluster_.types()[vm.kind.type];
+    vm.free = {type.cpus, type.gpus, type.memory_gb};
+    vm.wave = static_cast<std::uint32_t>(draft.wave_from_s.size() - 1);
+    vm.booted_at_s = std::max(type.boot_s, draft.wave_from_s.back());
+    draft.virtual_machines.push_back(std::move(vm));
     return placement_on_virtual_machine(draft, job, draft.virtual_machines.size() - 1, at_s);
 }
 
 Planner::Placement Planner::placement_on_virtual_machine(const Draft& draft, const Job& job,
-                                                         std::size_t bin, double at_s) const {
-    const VirtualMachine& b = draft.virtual_machines[bin];
+                                                         std::size_t vm, double at_s) const {
+    const VirtualMachine& b = draft.virtual_machines[vm];
     const bool there = std::find(b.images.begin(), b.images.end(), job.image) != b.images.end();
-    const double boot_s = std::max(0.0, b.boots_until_s - at_s);
+    const double boot_s = std::max(0.0, b.booted_at_s - at_s);
     const double fetch_s = there ? 0 : placement::image_fetch_s(job, cluster_.types()[b.kind.type]);
-    return {true, nullptr, bin, at_s + boot_s + fetch_s, boot_s};
+    return {true, nullptr, vm, at_s + boot_s + fetch_s, boot_s};
 }
 
 void Planner::occupy(Draft& draft, const Job& job, const Placement& placement) {
@@ -314,14 +318,15 @@
     }
     ZoneSpread& s = spread_of(draft, job);
     ++s.by_zone[zone];
-    if (job.spec.one_zone) s.stays_in = zone;
+    if (job.spec.one_zone) s.staying_zone = zone;
 }
 
 void Planner::add_violation(Draft& draft, Violation r) {
-    if (draft.plan.violations.size() < kMostRefusals) draft.plan.violations.push_back(std::move(r));
+    if (draft.plan.violations.size() < kMaxViolations)
+        draft.plan.violations.push_back(std::move(r));
 }
 
-// Would the plan break a promise that is kept without it?
+// Records a violation if the plan breaks a deadline or objective that would be met without it.
 void Planner::check_objectives(Draft& draft, const Move& move, const Placement& place,
                                const Job& job, const Machine& machine, double undisturbed_s,
                                Millis now) {
@@ -338,18 +343,18 @@
                               move.ends_s});
     };
     if (job.is_service()) {
-        double promised_s = 0;
+        double objective_s = 0;
         for (const wire::Objective& objective : term_.settings().objectives) {
             if (objective.kind == Kind::wait && objective.job_class == job.spec.job_class) {
-                promised_s = std::max(promised_s, objective.within_s);
+                objective_s = std::max(objective_s, objective.within_s);
             }
         }
-        const double away_s = move.restarts_s - move.stops_s + kStopS;
-        if (promised_s > 0 && away_s > promised_s) {
+        const double away_s = move.restarts_s - move.stops_s + kStopOverheadS;
+        if (objective_s > 0 && away_s > objective_s) {
             against(
                 fmt::format("a replica would be away for {:.0f} s, its class is promised a start "
                             "within {:.0f} s",
-                            away_s, promised_s),
+                            away_s, objective_s),
                 {});
         }
         return;
@@ -388,7 +393,7 @@
         const double both_s = type.boot_s + draft.wave_empty_s[b.wave] - draft.wave_from_s[b.wave];
         p.cost += price * both_s / 3600;
     }
-    // What led to it is not needed any more.
+    // Keeps the plan only and frees the rest of the draft.
     Plan keep = std::move(p);
     draft = Draft{};
     draft.plan = std::move(keep);
--- a/src/drain/planner.h
+++ b/src/drain/planner.h
@@ -1,5 +1,7 @@
-// Makes drain plans from the book, some machines a turn. Each machine is read at once, when its
-// turn comes; places that the plan has given away count as taken. It changes nothing in the book.
+/// @file
+/// Makes drain plans from the cluster state, a bounded number of tasks per call. The tasks of a
+/// machine are all read in the same call. Slots that the plan has assigned count as occupied. The
+/// cluster state is not modified.
 #pragma once
 #include <deque>
 #include <memory>
@@ -20,8 +22,12 @@
 
 class Planner {
   public:
-    // different: the id stands for another request; full: too many are being made
-    enum class RequestResult { accepted, already_known, id_conflict, too_many };
+    enum class RequestResult {
+        accepted,
+        already_known,  ///< the same request was made before
+        id_conflict,    ///< the id belongs to a different request
+        too_many        ///< too many plans are in progress
+    };
 
     Planner(const cluster::TermContext& term, cluster::ClusterState& cluster,
             const forecast::DemandForecast& forecast, const scheduling::PlacementRules& rules,
@@ -33,7 +39,7 @@
           failure_detector_(failure_detector) {}
 
     RequestResult request_plan(const Request& request);
-    // A part of the oldest unfinished plan; how many tasks it has looked at.
+    /// Continues the oldest unfinished plan and returns how many machines and tasks were examined.
     std::size_t advance(Millis now);
     const Plan* find(const std::string& id) const;
     std::vector<const Plan*> all() const;
@@ -42,37 +48,38 @@
     using Attempt = jobs::Attempt;
     using Job = jobs::Job;
     using Machine = machines::Machine;
-    // Hired for the plan: what is still free on it.
+    /// A machine that the plan would provision.
     struct VirtualMachine {
         cloud::MachineKind kind;
-        placement::Need free;
-        double boots_until_s = 0;  // boots until then
+        placement::Need free;    ///< capacity not assigned yet
+        double booted_at_s = 0;  ///< seconds from the plan's beginning
         std::uint32_t wave = 0;
         std::vector<Index> images;
     };
     struct Placement {
         bool found = false;
-        Machine* machine = nullptr;  // null: on a bin
+        Machine* machine = nullptr;  ///< null: on a virtual machine
         std::size_t virtual_machine = 0;
-        double ready_s = 0;  // when the task would run there
-        double boot_s = 0;   // of that, the wait for a boot
+        double ready_s = 0;  ///< when the task could run there
+        double boot_s = 0;   ///< time spent waiting for the machine to boot
     };
-    // Where the tasks of a job are, with what the plan has done to them.
+    /// The zones of a job's tasks after the moves planned so far.
     struct ZoneSpread {
         std::vector<std::uint32_t> by_zone;
-        Index stays_in = kNone;  // one_zone: where those are that do not leave
+        Index staying_zone = kNone;  ///< zone of the tasks that do not leave, for one_zone
     };
-    // What making one plan needs beyond the plan.
+    /// A plan in progress.
     struct Draft {
         Plan plan;
-        std::vector<std::pair<Index, std::string>> queue;  // machines, in order
+        std::vector<std::pair<Index, std::string>> queue;  ///< machines in drain order
         std::size_t next = 0;
-        std::uint32_t in_wave = 0;
+        std::uint32_t machines_in_wave = 0;
         std::vector<double> wave_from_s{0}, wave_empty_s{0};
         std::set<Index> leaving;
-        std::unordered_map<Index, placement::Need> occupied;  // of other machines, by the plan
+        /// Capacity that the plan has assigned, by remaining machine.
+        std::unordered_map<Index, placement::Need> occupied;
         std::vector<VirtualMachine> virtual_machines;
-        std::unordered_map<std::string, ZoneSpread> spread;  // by job
+        std::unordered_map<std::string, ZoneSpread> spread;  ///< by job
     };
     void choose_machines(Draft& draft);
     std::size_t plan_machine(Draft& draft, Machine& machine, Millis now);
@@ -81,7 +88,7 @@
     ZoneSpread& spread_of(Draft& draft, const Job& job);
     bool zone_allowed(Draft& draft, const Job& job, Index zone);
     Placement find_placement(Draft& draft, const Job& job, double at_s, Millis now);
-    Placement placement_on_virtual_machine(const Draft& draft, const Job& job, std::size_t bin,
+    Placement placement_on_virtual_machine(const Draft& draft, const Job& job, std::size_t vm,
                                            double at_s) const;
     Placement provision_for(Draft& draft, const Job& job, double at_s);
     void occupy(Draft& draft, const Job& job, const Placement& placement);
@@ -95,7 +102,7 @@
     const forecast::DemandForecast& forecast_;
     const scheduling::PlacementRules& rules_;
     const failure::FailureDetector& failure_detector_;
-    std::deque<std::unique_ptr<Draft>> drafts_;  // oldest first
+    std::deque<std::unique_ptr<Draft>> drafts_;  ///< oldest first
 };
 
 }  // namespace nickelramp::drain
--- a/src/drain/request_handler.cpp
+++ b/src/drain/request_handler.cpp
@@ -35,7 +35,7 @@
     }
     return json(503, {{"error", "too many plans are being made"}}, kPlansRetryAfterS);
 }
-// `query`: empty, or "from=<step>".
+// Returns the first step of the page. `query` is empty or "from=<step>"; otherwise returns nothing.
 std::optional<std::size_t> first_step(const std::string& query) {
     constexpr std::string_view kFrom = "from=";
     std::size_t from = 0;
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -1,4 +1,4 @@
-// Drain plans: properties of every plan over random clusters, the hard cases one by one, and the
+// Tests of drain plans: properties of every plan over random clusters, single difficult cases, and
 // requests of the administration API.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -25,7 +25,7 @@
 using test::traced;
 using wire::Json;
 
-struct Planned : ControlFixture {
+struct PlannerFixture : ControlFixture {
     using ControlFixture::ControlFixture;
     drain::Planner planner{term, cluster, forecast, placement_rules, failure_detector};
 
@@ -59,12 +59,12 @@
     return spec;
 }
 
-// In any cluster: each task that leaves is named once, its target is another machine that it may
-// use and that has room for all that the plan sends there, spread and one_zone hold, waves are as
-// small as asked, and the cluster state is left as it was.
+// In any cluster, a plan lists each leaving task once. Its target is a remaining machine that the
+// job may use and that fits all tasks the plan places there. The limits of spread, one_zone and
+// at_once hold, and the cluster state is not modified.
 TEST(Drain, EveryPlanFollowsThePlacementRules) {
     EXPECT_TRUE(rc::check([] {
-        Planned p;
+        PlannerFixture p;
         const int machines = *rc::gen::inRange(2, 14);
         for (int n = 0; n < machines; ++n) {
             p.add_ready_machine("m-" + std::to_string(n), *rc::gen::element("g4", "plain"),
@@ -153,16 +153,16 @@
             RC_ASSERT(machine->cpus_free == before[i++]);
         RC_ASSERT(p.gateway.commits.empty() && p.gateway.provision_calls.empty() &&
                   p.gateway.release_calls.empty());
-        // For its trace: a plan after everything that was forecast.
+        // Only for the trace: a plan at a time after all forecast task ends.
         request["id"] = "up-2";
         p.plan(request, 60'000);
     }));
 }
 
-// A gang with a deadline: in time if it is left alone, late if it must wait for a machine to boot.
-// The plan says so, and what would help.
+// A gang meets its deadline if it is not moved, and misses it if it must wait for a machine to
+// boot. The plan reports the violation with a suggestion.
 TEST(Drain, AMovePastItsDeadlineIsReportedWithTheReason) {
-    Planned p;
+    PlannerFixture p;
     p.add_ready_machine("gpu3", "g4", "a");
     Json spec = job("job-1", "ensemble", 1, 4);
     spec["guess_s"] = 100.0;
@@ -175,18 +175,18 @@
     EXPECT_EQ(late.violations[0].job, "job-1");
     EXPECT_EQ(late.violations[0].machine, "gpu3");
     EXPECT_DOUBLE_EQ(*late.violations[0].due_s, 105);
-    EXPECT_DOUBLE_EQ(*late.violations[0].ends_s, 110);  // a boot of 10 s, then all of it
+    EXPECT_DOUBLE_EQ(*late.violations[0].ends_s, 110);  // a boot of 10 s, then the full run time
     EXPECT_EQ(late.violations[0].suggestion, "more machines: g4 in a hired 6 s before");
-    // With a machine more it is in time.
+    // With a second machine the deadline is met.
     p.add_ready_machine("gpu4", "g4", "a");
     const drain::Plan& fine = p.plan({{"id", "driver-2"}, {"machines", {"gpu3"}}}, 1000);
     EXPECT_EQ(fine.state, PlanState::ready);
     EXPECT_EQ(fine.steps[0].moves[0].to, "gpu4");
-    EXPECT_DOUBLE_EQ(fine.steps[0].empty_s, 4);  // it saves for 2 s, and 2 s to be gone
+    EXPECT_DOUBLE_EQ(fine.steps[0].empty_s, 4);  // 2 s for the checkpoint and 2 s to stop
 }
 
 TEST(Drain, TasksWithoutCheckpointsRunToTheirEnd) {
-    Planned p;
+    PlannerFixture p;
     p.add_ready_machine("m-1", "plain", "a");
     p.add_ready_machine("m-2", "plain", "a");
     Job& j = p.add_job(with(job("job-1", "sweep", 1, 0), "save_every_s", 0.0), 1000);
@@ -195,13 +195,13 @@
     const drain::Plan& plan = p.plan({{"id", "d"}, {"machines", {machine->name}}}, 4000);
     ASSERT_EQ(plan.steps.size(), 1u);
     EXPECT_EQ(plan.steps[0].moves[0].kind, MoveKind::runs_to_end);
-    EXPECT_DOUBLE_EQ(plan.steps[0].empty_s, 7);  // of ten
+    EXPECT_DOUBLE_EQ(plan.steps[0].empty_s, 7);  // of a run time of 10 s
     EXPECT_EQ(plan.state, PlanState::ready);
 }
 
 // A job that is being cancelled needs no slot elsewhere.
 TEST(Drain, TasksBeingStoppedAreNotPlacedAgain) {
-    Planned p;
+    PlannerFixture p;
     Machine& machine = p.add_ready_machine("m-1", "g4", "a");
     Job& j = p.add_job(job("job-1", "standing", 2, 1), 1000);
     p.run(j, 1000);
@@ -217,7 +217,7 @@
 TEST(Drain, AReplicaAwayTooLongIsReported) {
     wire::Settings settings = test::simulation_settings();
     settings.objectives = {{wire::Objective::Kind::wait, "standing", 8, 1, 0}};
-    Planned p(settings);
+    PlannerFixture p(settings);
     p.add_ready_machine("m-1", "g4", "a");
     p.run(p.add_job(job("job-1", "standing", 1, 4), 1000), 1000);
     const drain::Plan& plan = p.plan({{"id", "d"}, {"zone", "a"}}, 2000);
@@ -230,7 +230,7 @@
 }
 
 TEST(Drain, UnknownGoneAndDelegatedMachinesAreSkipped) {
-    Planned p;
+    PlannerFixture p;
     p.cluster.set_machine_state(p.add_ready_machine("m-1", "plain", "a"), MachineState::leased_out);
     p.cluster.release_machine(p.add_ready_machine("m-2", "plain", "a"),
                               cluster::ReleaseReason::idle);
@@ -238,7 +238,7 @@
     std::string error;
     auto r = drain::parse_request({{"id", "d"}, {"machines", {"m-0", "m-1", "m-2", "m-3"}}}, error);
     ASSERT_EQ(p.planner.request_plan(*r), Planner::RequestResult::accepted);
-    p.cluster.machine_gone(gone, 1100);  // between two calls
+    p.cluster.machine_gone(gone, 1100);  // between request and advance()
     p.planner.advance(1200);
     const drain::Plan& plan = *p.planner.find("d");
     EXPECT_EQ(plan.state, PlanState::ready);
@@ -251,7 +251,7 @@
 
 // Each call of advance() looks at a bounded number of tasks, however large the cluster.
 TEST(Drain, WorkPerTurnIsBounded) {
-    Planned p;
+    PlannerFixture p;
     for (int n = 0; n < 200; ++n) p.add_ready_machine("m-" + std::to_string(n), "plain", "a");
     for (int n = 0; n < 40; ++n) {
         p.run(p.add_job(job("job-" + std::to_string(n), "sweep", 20, 0), 1000), 1000);
@@ -261,11 +261,11 @@
     std::size_t turns = 0;
     while (p.planner.find("d")->state == PlanState::planning) {
         const std::size_t looked = p.planner.advance(2000);
-        EXPECT_LE(looked, 105u);  // a hundred and the rest of one machine
+        EXPECT_LE(looked, 105u);  // 100 and the remaining tasks of one machine
         ASSERT_LT(++turns, 100u);
     }
     EXPECT_GE(turns, 8u);
-    // So is a page of it.
+    // The size of a page is bounded, too.
     std::set<std::string> named;
     std::size_t from = 0, pages = 0;
     for (;; ++pages) {
@@ -286,7 +286,7 @@
 }
 
 TEST(Drain, BadRequestsNameTheFieldAtFault) {
-    Planned p;
+    PlannerFixture p;
     p.add_ready_machine("m-1", "plain", "a");
     auto ask = [&](const std::string& method, const std::string& path, const std::string& body,
                    bool leads = true) {
