--- a/emulator/cloud_emulator.cpp
+++ b/emulator/cloud_emulator.cpp
@@ -10,9 +10,9 @@
 using wire::Json;
 
 namespace {
-constexpr Millis kBootEvery = 50;
-constexpr std::size_t kMostListed = 500, kMostRented = 50, kSpotEvery = 3;
-constexpr double kHourly = 10, kSpotHourly = 4, kMillisPerSecond = 1'000;
+constexpr Millis kBootInterval = 50;
+constexpr std::size_t kMaxListed = 500, kMaxProvisioned = 50, kSpotEvery = 3;
+constexpr double kHourlyPrice = 10, kSpotHourlyPrice = 4, kMillisPerSecond = 1'000;
 
 void reply(const net::Responder& r, int status, const Json& body) {
     r.send({status, wire::encode(body), 0, "application/cbor"});
@@ -29,7 +29,7 @@
       boot_timer_(loop, [this] { boot(); }),
       limit_(settings_.requests_per_s) {
     for (std::size_t i = 0; i < settings_.capacity; ++i) free_[i % kSpotEvery == 0].insert(i);
-    boot_timer_.every(kBootEvery);
+    boot_timer_.every(kBootInterval);
 }
 
 int CloudEmulator::listen(const std::string& address) {
@@ -44,23 +44,23 @@
                {"mem_gb", settings_.memory_gb},
                {"local_gb", 1000.0},
                {"pull_gb_per_s", 1.0},
-               {"hourly", kHourly},
-               {"low_price", kSpotHourly},
+               {"hourly", kHourlyPrice},
+               {"low_price", kSpotHourlyPrice},
                {"boot_s", settings_.boot_s},
                {"yards", settings_.zones}}}}};
 }
 
-void CloudEmulator::rent(const Json& body, const net::Responder& r) {
+void CloudEmulator::provision(const Json& body, const net::Responder& r) {
     const auto request = wire::text_field(body, "hire"), zone = wire::text_field(body, "yard");
     const auto count = wire::count_field(body, "count");
     if (!request || !zone || !count) return reply(r, 400, Json::object());
-    auto known = rentals_.find(*request);
-    if (known != rentals_.end()) return reply(r, 200, {{"hosts", known->second}});
+    auto known = provisioned_by_request_.find(*request);
+    if (known != provisioned_by_request_.end()) return reply(r, 200, {{"hosts", known->second}});
     const bool spot = wire::flag_field(body, "standby").value_or(false);
     std::set<std::size_t>& free = free_[spot];
     if (free.empty()) return reply(r, 503, {{"error", "no capacity"}});
-    std::vector<std::string>& names = rentals_[*request];
-    while (names.size() < std::min<std::size_t>(*count, kMostRented) && !free.empty()) {
+    std::vector<std::string>& names = provisioned_by_request_[*request];
+    while (names.size() < std::min<std::size_t>(*count, kMaxProvisioned) && !free.empty()) {
         char name[32];
         std::snprintf(name, sizeof name, "i-%06zu", ++last_name_);
         Machine machine;
@@ -68,13 +68,13 @@
         free.erase(free.begin());
         machine.zone = *zone;
         machine.spot = spot;
-        machine.rented_at = now();
+        machine.provisioned_at = now();
         std::uniform_real_distribution<double> spread(0.6, 1.5);
         machine.up_at = now() + seconds(settings_.boot_s * spread(random_));
         boots_.emplace(machine.up_at, name);
         machines_.emplace(name, std::move(machine));
         names.emplace_back(name);
-        ++counters_.rented;
+        ++counters_.provisioned;
     }
     reply(r, 200, {{"hosts", names}});
 }
@@ -90,7 +90,7 @@
     }
 }
 
-void CloudEmulator::take_back(const Json& body, const net::Responder& r) {
+void CloudEmulator::release_machines(const Json& body, const net::Responder& r) {
     const Json* hosts = wire::field(body, "hosts");
     if (hosts == nullptr || !hosts->is_array()) return reply(r, 400, Json::object());
     for (const Json& host : *hosts) {
@@ -116,10 +116,10 @@
 }
 
 void CloudEmulator::list(const net::Request& q, const net::Responder& r) const {
-    const auto limit = static_cast<std::size_t>(number(q.query, "limit", kMostListed));
+    const auto limit = static_cast<std::size_t>(number(q.query, "limit", kMaxListed));
     auto it = machines_.upper_bound(parameter(q.query, "from"));
     Json hosts = Json::array();
-    for (; it != machines_.end() && hosts.size() < std::min(limit, kMostListed); ++it) {
+    for (; it != machines_.end() && hosts.size() < std::min(limit, kMaxListed); ++it) {
         const Machine& machine = it->second;
         hosts.push_back(
             {{"id", it->first},
@@ -130,14 +130,14 @@
              {"status", machine.failed ? "failed"
                         : machine.up   ? "running"
                                        : "booting"},
-             {"age_s", static_cast<double>(now() - machine.rented_at) / kMillisPerSecond}});
+             {"age_s", static_cast<double>(now() - machine.provisioned_at) / kMillisPerSecond}});
     }
     reply(r, 200, {{"hosts", hosts}, {"truncated", it != machines_.end()}});
 }
 
 void CloudEmulator::handle(const net::Request& q, const net::Responder& r) {
     ++counters_.requests;
-    if (!limit_.take(1, now())) {
+    if (!limit_.try_acquire(1, now())) {
         ++counters_.refused;
         return reply(r, 429, Json::object());
     }
@@ -148,7 +148,7 @@
     }
     const auto body = wire::decode_map(q.body);
     if (!body) return reply(r, 400, Json::object());
-    q.path == "/hosts/return" ? take_back(*body, r) : rent(*body, r);
+    q.path == "/hosts/return" ? release_machines(*body, r) : provision(*body, r);
 }
 
 }  // namespace nickelramp::emulator
--- a/emulator/cloud_emulator.h
+++ b/emulator/cloud_emulator.h
@@ -1,4 +1,6 @@
-// Emulates the cloud on loopback: provisions emulated workers, which begin after their boot time.
+/// @file
+/// Emulates the cloud's API on loopback. A machine that it provisions becomes an emulated worker
+/// after its boot time.
 #pragma once
 #include <uv.h>
 
@@ -15,24 +17,31 @@
 
 namespace nickelramp::emulator {
 
+/// What the emulated cloud offers: one machine type in several zones.
 struct CloudSettings {
-    std::string type = "m64";
+    std::string type = "m64";  ///< name of the machine type
+    /// A requests_per_s of 0 stands for no limit.
     double cpus = 64, gpus = 2, memory_gb = 256, boot_s = 5, requests_per_s = 0;
     std::vector<std::string> zones;
-    std::size_t capacity = 0;  // machines in all; a third of them spot machines
+    std::size_t capacity = 0;  ///< machines in total, a third of them spot machines
 };
 
+/// The cloud's HTTP API with its request limit, backed by WorkerEmulator.
 class CloudEmulator {
   public:
+    /// Totals since the start.
     struct Counters {
-        std::uint64_t requests = 0, refused = 0, rented = 0, returned = 0, listed = 0;
+        std::uint64_t requests = 0, refused = 0, provisioned = 0, returned = 0, listed = 0;
     };
     CloudEmulator(uv_loop_t* loop, CloudSettings settings, WorkerEmulator& workers,
                   std::uint64_t seed);
-    int listen(const std::string& address);  // 0 or a libuv error
-    // A machine stops by itself, with all that is on it.
+    /// @return 0 or a libuv error.
+    int listen(const std::string& address);
+    /// Fails a random running machine, with all its tasks. The cloud lists it as failed until a
+    /// controller returns it.
     void fail_one();
     const Counters& counters() const { return counters_; }
+    /// Number of machines that are provisioned, including failed ones.
     std::size_t machines() const { return machines_.size(); }
 
   private:
@@ -40,15 +49,16 @@
         std::size_t number = 0;
         std::string zone;
         bool spot = false, failed = false;
-        Millis rented_at = 0, up_at = 0;
+        Millis provisioned_at = 0, up_at = 0;
         bool up = false;
     };
     Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
     void handle(const net::Request& request, const net::Responder& responder);
-    void rent(const wire::Json& body, const net::Responder& responder);
-    void take_back(const wire::Json& body, const net::Responder& responder);
+    void provision(const wire::Json& body, const net::Responder& responder);
+    void release_machines(const wire::Json& body, const net::Responder& responder);
     void list(const net::Request& request, const net::Responder& responder) const;
     wire::Json types() const;
+    // Starts the workers of machines whose boot time is over.
     void boot();
 
     uv_loop_t* loop_;
@@ -59,9 +69,9 @@
     net::Timer boot_timer_;
     RateLimit limit_;
     std::map<std::string, Machine> machines_;
-    std::multimap<Millis, std::string> boots_;
-    std::map<std::string, std::vector<std::string>> rentals_;  // by request
-    std::set<std::size_t> free_[2];                            // numbers; ordinary, spot
+    std::multimap<Millis, std::string> boots_;  // machine names by end of boot
+    std::map<std::string, std::vector<std::string>> provisioned_by_request_;
+    std::set<std::size_t> free_[2];  // numbers of free machines: on-demand, spot
     std::size_t last_name_ = 0;
     Counters counters_;
 };
--- a/emulator/controller_processes.cpp
+++ b/emulator/controller_processes.cpp
@@ -19,11 +19,11 @@
 constexpr int kExecFailed = 127;
 constexpr double kBytesPerMb = 1024.0 * 1024.0;
 
-// In the child; returns only if the program cannot be run.
-void become(const std::string& program, const std::string& settings, const std::string& log,
-            pid_t parent) {
+// Runs in the child process and replaces it by the controller. Never returns.
+void exec_controller(const std::string& program, const std::string& settings,
+                     const std::string& log, pid_t parent) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(kExecFailed);  // it has ended meanwhile
+    if (getppid() != parent) _exit(kExecFailed);  // the parent ended before prctl() took effect
     const int file = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     if (file >= 0) {
         dup2(file, STDOUT_FILENO);
@@ -44,7 +44,7 @@
     const auto after_name = line.rfind(')');
     if (after_name == std::string::npos) return out;
     std::istringstream fields(line.substr(after_name + 2));
-    constexpr int kUserTime = 11;  // fields after the name: see proc(5)
+    constexpr int kUserTime = 11;  // index of utime among the fields after the name, see proc(5)
     std::string skipped;
     for (int i = 0; i < kUserTime; ++i) fields >> skipped;
     double user = 0, system = 0;
@@ -95,8 +95,8 @@
     const std::string log = settings_.directory + "/" + name(i) + ".log";
     const pid_t parent = getpid();
     const pid_t child = fork();
-    if (child < 0) return std::string("cannot start a process: ") + std::strerror(errno);
-    if (child == 0) become(settings_.program, settings, log, parent);
+    if (child < 0) return std::string("cannot fork a controller process: ") + std::strerror(errno);
+    if (child == 0) exec_controller(settings_.program, settings, log, parent);
     pids_[i] = child;
     return "";
 }
@@ -115,13 +115,13 @@
     pids_[i] = 0;
 }
 
-std::size_t ControllerProcesses::ended_by_themselves() {
+std::size_t ControllerProcesses::unexpected_exits() {
     for (pid_t& pid : pids_) {
         if (pid == 0 || waitpid(pid, nullptr, WNOHANG) != pid) continue;
         pid = 0;
-        ++ended_;
+        ++unexpected_exits_;
     }
-    return ended_;
+    return unexpected_exits_;
 }
 
 }  // namespace nickelramp::emulator
--- a/emulator/histogram.h
+++ b/emulator/histogram.h
@@ -1,4 +1,6 @@
-// Delays in buckets that grow by a twentieth: percentiles to 5%, in constant memory.
+/// @file
+/// Histogram of delays with bucket widths that grow by 5%, so that percentiles are accurate to 5%
+/// in constant memory.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -7,38 +9,41 @@
 
 namespace nickelramp::emulator {
 
+/// Delays in milliseconds.
 class Histogram {
   public:
     void add(double milliseconds) {
         ++counts_[bucket_of(milliseconds)];
         ++total_;
-        most_ = std::max(most_, milliseconds);
+        maximum_ = std::max(maximum_, milliseconds);
     }
     std::uint64_t count() const { return total_; }
-    double most() const { return most_; }
-    // The upper end of the bucket that this part of all lies in or below; 0 if there are none.
-    double percentile(double part) const {
-        const auto wanted =
-            static_cast<std::uint64_t>(std::ceil(part * static_cast<double>(total_)));
-        std::uint64_t seen = 0;
+    double maximum() const { return maximum_; }
+    /// Returns the upper bound of the bucket that contains the percentile, 0 if no delay was added.
+    /// @param fraction from 0 to 1.
+    double percentile(double fraction) const {
+        const auto rank =
+            static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(total_)));
+        std::uint64_t cumulative = 0;
         for (std::size_t i = 0; i < counts_.size() && total_ > 0; ++i) {
-            seen += counts_[i];
-            if (seen >= wanted) return std::min(most_, kLeast * std::pow(kGrowth, i + 1.0));
+            cumulative += counts_[i];
+            if (cumulative >= rank)
+                return std::min(maximum_, kSmallestMs * std::pow(kGrowth, i + 1.0));
         }
-        return most_;
+        return maximum_;
     }
 
   private:
-    static constexpr double kLeast = 0.05, kGrowth = 1.05;
+    static constexpr double kSmallestMs = 0.05, kGrowth = 1.05;
     static std::size_t bucket_of(double ms) {
-        if (ms <= kLeast) return 0;
-        const auto i = static_cast<std::size_t>(std::log(ms / kLeast) / std::log(kGrowth));
+        if (ms <= kSmallestMs) return 0;
+        const auto i = static_cast<std::size_t>(std::log(ms / kSmallestMs) / std::log(kGrowth));
         return std::min(i, kBuckets - 1);
     }
-    static constexpr std::size_t kBuckets = 400;  // up to hours
+    static constexpr std::size_t kBuckets = 400;  // covers several hours
     std::array<std::uint64_t, kBuckets> counts_{};
     std::uint64_t total_ = 0;
-    double most_ = 0;
+    double maximum_ = 0;
 };
 
 }  // namespace nickelramp::emulator
--- a/emulator/query.cpp
+++ b/emulator/query.cpp
@@ -11,9 +11,9 @@
     return query.substr(from, query.find('&', from) - from);
 }
 
-Millis number(const std::string& query, const std::string& name, Millis otherwise) {
+Millis number(const std::string& query, const std::string& name, Millis default_value) {
     const std::string text = parameter(query, name);
-    Millis out = otherwise;
+    Millis out = default_value;
     std::from_chars(text.data(), text.data() + text.size(), out);
     return out;
 }
--- a/emulator/query.h
+++ b/emulator/query.h
@@ -1,4 +1,5 @@
-// Parameters of a request's query.
+/// @file
+/// Parses the query part of a request's URL.
 #pragma once
 #include <string>
 
@@ -6,8 +7,9 @@
 
 namespace nickelramp::emulator {
 
-// Empty if it is not there.
+/// Returns the value of a query parameter, empty if it is missing.
 std::string parameter(const std::string& query, const std::string& name);
-Millis number(const std::string& query, const std::string& name, Millis otherwise);
+/// Returns a numeric query parameter, `default_value` if it is missing or not a number.
+Millis number(const std::string& query, const std::string& name, Millis default_value);
 
 }  // namespace nickelramp::emulator
--- a/emulator/scale_run.cpp
+++ b/emulator/scale_run.cpp
@@ -12,10 +12,10 @@
 using wire::Json;
 
 namespace {
-constexpr Millis kSampleEvery = 1'000, kAskWait = 2'000;
+constexpr Millis kSampleInterval = 1'000, kStatusTimeout = 2'000;
 constexpr double kMillisPerSecond = 1'000, kSecondsPerDay = 86'400;
 constexpr int kStatePort = 1, kCloudPort = 2, kWorkerPort = 3, kControllerPort = 10;
-constexpr std::size_t kMostStateConnections = 4'000;
+constexpr std::size_t kMaxStateConnections = 4'000;
 
 std::string loopback(const ScaleOptions& o, int offset) {
     return "127.0.0.1:" + std::to_string(o.first_port + offset);
@@ -57,8 +57,9 @@
 }
 
 Json facts(const ScaleOptions& o) {
-    // Limits that the controllers divide among themselves; 0 stands for practically none.
-    auto or_ample = [](double limit) { return limit > 0 ? limit : 1e6; };
+    // The controllers divide these limits among themselves. An option of 0 means no limit; the
+    // controllers get one that is practically never reached.
+    auto or_unlimited = [](double limit) { return limit > 0 ? limit : 1e6; };
     Json teams = Json::array();
     for (const auto& [name, limit] : gpu_limits(o)) {
         teams.push_back({{"name", name},
@@ -78,11 +79,11 @@
               {"gang_peer_s", 4.0},
               {"cancel_s", o.cancel_s}}},
             {"state",
-             {{"rps", or_ample(o.state_requests_per_s)},
-              {"write_rps", or_ample(o.state_changes_per_s)},
+             {{"rps", or_unlimited(o.state_requests_per_s)},
+              {"write_rps", or_unlimited(o.state_changes_per_s)},
               {"value_kb", 32.0},
               {"txn_ops", 32}}},
-            {"cloud", {{"rps", or_ample(o.cloud_requests_per_s)}, {"list_lag_s", 1.0}}},
+            {"cloud", {{"rps", or_unlimited(o.cloud_requests_per_s)}, {"list_lag_s", 1.0}}},
             {"limits", {{"cpu", 1.0}, {"mem_mb", 1'024.0}, {"fd_limit", o.sockets}}},
             {"time_bound_ms", 1'000.0}};
 }
@@ -92,7 +93,7 @@
             {"p50_ms", h.percentile(0.5)},
             {"p90_ms", h.percentile(0.9)},
             {"p99_ms", h.percentile(0.99)},
-            {"max_ms", h.most()}};
+            {"max_ms", h.maximum()}};
 }
 }  // namespace
 
@@ -114,14 +115,14 @@
       loop_(uv_default_loop()),
       rules_(seconds(options.cancel_s), gpu_limits(options)),
       state_(loop_,
-             {options.state_requests_per_s, options.state_changes_per_s, kMostStateConnections}),
+             {options.state_requests_per_s, options.state_changes_per_s, kMaxStateConnections}),
       workers_(loop_, worker_settings(options), rules_, options.seed),
       cloud_(loop_, cloud_settings(options), workers_, options.seed + 1),
       controllers_(controller_settings(options)),
       users_(loop_, options.load, worker_settings(options).addresses, rules_, options.seed + 2),
       sample_timer_(loop_, [this] { sample(); }),
       crash_timer_(loop_, [this] { crash_leader(); }),
-      back_timer_(loop_, [this] { controllers_.start(crashed_); }),
+      restart_timer_(loop_, [this] { controllers_.start(crashed_); }),
       samples_(options.controllers) {}
 
 ScaleRun::~ScaleRun() = default;
@@ -136,17 +137,17 @@
           Listener{"cloud", cloud_.listen(loopback(options_, kCloudPort))},
           Listener{"workers", workers_.listen()}}) {
         if (l.code < 0)
-            return std::string("the ") + l.what + " cannot listen: " + uv_strerror(l.code);
+            return std::string("the ") + l.what + " emulator cannot listen: " + uv_strerror(l.code);
     }
     if (std::string error = controllers_.start_all(); !error.empty()) return error;
     uv_update_time(loop_);
-    began_ = sampled_at_ = now();
+    started_at_ = sampled_at_ = now();
     users_.begin();
-    sample_timer_.every(kSampleEvery);
+    sample_timer_.every(kSampleInterval);
     if (options_.kill_leader_at_s > 0) crash_timer_.after(seconds(options_.kill_leader_at_s));
-    while (!over_) uv_run(loop_, UV_RUN_ONCE);
+    while (!finished_) uv_run(loop_, UV_RUN_ONCE);
     ended_at_ = now();
-    at_last_ = totals();
+    totals_at_end_ = totals();
     return "";
 }
 
@@ -164,64 +165,66 @@
             w.direct};
 }
 
-void ScaleRun::sample_process(Sampled& s, pid_t pid, double passed_s) const {
+void ScaleRun::sample_process(Sampled& s, pid_t pid, double elapsed_s) const {
     if (pid == 0) return;
     const Usage u = usage_of(pid);
     const double used = u.processor_s - s.last.processor_s;
-    if (measuring_ && used >= 0) s.peak_part = std::max(s.peak_part, used / passed_s);
+    if (measuring_ && used >= 0) s.peak_cores = std::max(s.peak_cores, used / elapsed_s);
     s.last = u;
-    s.most_memory_mb = std::max(s.most_memory_mb, u.memory_mb);
-    s.most_files = std::max(s.most_files, u.files);
+    s.peak_memory_mb = std::max(s.peak_memory_mb, u.memory_mb);
+    s.peak_files = std::max(s.peak_files, u.files);
 }
 
 void ScaleRun::sample() {
-    const double passed_s =
+    const double elapsed_s =
         static_cast<double>(now() - std::exchange(sampled_at_, now())) / kMillisPerSecond;
-    const double since_s = static_cast<double>(now() - began_) / kMillisPerSecond;
-    if (passed_s <= 0) return;
+    const double since_s = static_cast<double>(now() - started_at_) / kMillisPerSecond;
+    if (elapsed_s <= 0) return;
     const Totals t = totals();
     for (std::size_t i = 0; i < samples_.size(); ++i)
-        sample_process(samples_[i], controllers_.pid(i), passed_s);
-    sample_process(own_usage_, getpid(), passed_s);
+        sample_process(samples_[i], controllers_.pid(i), elapsed_s);
+    sample_process(own_usage_, getpid(), elapsed_s);
     if (!measuring_ && since_s >= options_.warmup_s) {
         measuring_ = true;
         measured_at_ = now();
-        at_first_ = t;
+        totals_at_start_ = t;
         for (Sampled& s : samples_) s.first = s.last;
         own_usage_.first = own_usage_.last;
     } else if (measuring_) {
         auto rate = [&](std::uint64_t last, std::uint64_t before) {
-            return static_cast<double>(last - before) / passed_s;
+            return static_cast<double>(last - before) / elapsed_s;
         };
-        most_starts_per_s_ = std::max(most_starts_per_s_, rate(t.starts, at_sample_.starts));
-        most_changes_per_s_ = std::max(most_changes_per_s_, rate(t.changes, at_sample_.changes));
+        peak_starts_per_s_ = std::max(peak_starts_per_s_, rate(t.starts, totals_at_sample_.starts));
+        peak_changes_per_s_ =
+            std::max(peak_changes_per_s_, rate(t.changes, totals_at_sample_.changes));
     }
-    at_sample_ = t;
-    most_running_ = std::max(most_running_, workers_.running());
-    most_workers_ = std::max(most_workers_, workers_.size());
+    totals_at_sample_ = t;
+    peak_running_ = std::max(peak_running_, workers_.running());
+    peak_workers_ = std::max(peak_workers_, workers_.size());
     rules_.check(now());
-    const std::size_t ended = controllers_.ended_by_themselves();
-    while (ended_ < ended) {
-        ++ended_;
-        rules_.record_violation("ended", "a controller ended by itself");
+    const std::size_t ended = controllers_.unexpected_exits();
+    while (unexpected_exits_ < ended) {
+        ++unexpected_exits_;
+        rules_.record_violation("ended", "a controller exited unexpectedly");
     }
     find_leader();
-    const double failures = options_.failures_per_day / kSecondsPerDay * passed_s;
+    const double failures = options_.failures_per_day / kSecondsPerDay * elapsed_s;
     if (failures > 0 && static_cast<double>(now() % 1'000) / 1'000 < failures) cloud_.fail_one();
-    if (since_s >= options_.warmup_s + options_.duration_s) over_ = true;
+    if (since_s >= options_.warmup_s + options_.duration_s) finished_ = true;
 }
 
-// Asks the first controller that runs: any of them knows the leader.
+// Requests the status of the first running controller. Any controller knows the leader.
 void ScaleRun::find_leader() {
-    std::size_t asked = 0;
-    while (asked < controllers_.size() && controllers_.pid(asked) == 0) ++asked;
-    if (asked == controllers_.size() || (asker_ && !asker_->idle())) return;
-    const std::string to = controllers_.address(asked);
-    asker_ = std::make_unique<net::HttpClient>(loop_, *net::parse_address(to), to, 1, 2);
-    asker_->request("GET", "/admin/status", "", kAskWait, [this](const net::ClientReply& reply) {
-        const Json body = Json::parse(reply.body, nullptr, false);
-        if (body.is_object()) leader_ = body.value("leader", leader_);
-    });
+    std::size_t queried = 0;
+    while (queried < controllers_.size() && controllers_.pid(queried) == 0) ++queried;
+    if (queried == controllers_.size() || (status_client_ && !status_client_->idle())) return;
+    const std::string to = controllers_.address(queried);
+    status_client_ = std::make_unique<net::HttpClient>(loop_, *net::parse_address(to), to, 1, 2);
+    status_client_->request("GET", "/admin/status", "", kStatusTimeout,
+                            [this](const net::ClientReply& reply) {
+                                const Json body = Json::parse(reply.body, nullptr, false);
+                                if (body.is_object()) leader_ = body.value("leader", leader_);
+                            });
 }
 
 void ScaleRun::crash_leader() {
@@ -229,15 +232,15 @@
         if (controllers_.name(i) != leader_) continue;
         crashed_ = i;
         controllers_.kill(i);
-        back_timer_.after(seconds(options_.back_after_s));
+        restart_timer_.after(seconds(options_.back_after_s));
     }
 }
 
 Json ScaleRun::describe(const Sampled& s, double measured_s) const {
     return {{"processor", (s.last.processor_s - s.first.processor_s) / measured_s},
-            {"processor_peak", s.peak_part},
-            {"memory_mb", s.most_memory_mb},
-            {"files", s.most_files}};
+            {"processor_peak", s.peak_cores},
+            {"memory_mb", s.peak_memory_mb},
+            {"files", s.peak_files}};
 }
 
 double ScaleRun::measured_s() const {
@@ -245,10 +248,10 @@
 }
 
 double ScaleRun::per_s(std::uint64_t Totals::*total) const {
-    return static_cast<double>(at_last_.*total - at_first_.*total) / measured_s();
+    return static_cast<double>(totals_at_end_.*total - totals_at_start_.*total) / measured_s();
 }
 
-Json ScaleRun::load_asked_for() const {
+Json ScaleRun::load_requested() const {
     return {{"workers", options_.workers},
             {"controllers", options_.controllers},
             {"zones", options_.zones},
@@ -257,10 +260,10 @@
 }
 
 Json ScaleRun::load_reached() const {
-    return {{"workers", most_workers_},
-            {"tasks_running", most_running_},
+    return {{"workers", peak_workers_},
+            {"tasks_running", peak_running_},
             {"starts_per_s", per_s(&Totals::starts)},
-            {"starts_per_s_peak", most_starts_per_s_},
+            {"starts_per_s_peak", peak_starts_per_s_},
             {"jobs_open", users_.open()}};
 }
 
@@ -293,7 +296,7 @@
     const auto& counters = state_.counters();
     return {{"requests_per_s", per_s(&Totals::requests)},
             {"changes_per_s", per_s(&Totals::changes)},
-            {"changes_per_s_peak", most_changes_per_s_},
+            {"changes_per_s_peak", peak_changes_per_s_},
             {"transactions_per_s", per_s(&Totals::transactions)},
             {"refused", counters.refused},
             {"keys", state_.keys()},
@@ -304,8 +307,8 @@
 
 Json ScaleRun::cloud_result() const {
     const auto& counters = cloud_.counters();
-    return {{"requests_per_s", per_s(&Totals::calls)},
-            {"rented", counters.rented},
+    return {{"requests_per_s", per_s(&Totals::cloud_requests)},
+            {"rented", counters.provisioned},
             {"returned", counters.returned},
             {"refused", counters.refused}};
 }
@@ -327,7 +330,7 @@
     const Json settings = {{"changed", users_.counters().settings_changed},
                            {"in_force", delays(users_.settings_ms())}};
     return {{"measured_s", measured_s()},
-            {"asked", load_asked_for()},
+            {"asked", load_requested()},
             {"reached", load_reached()},
             {"controllers", controllers_result()},
             {"hollow_process", describe(own_usage_, measured_s())},
--- a/emulator/state_service_emulator.cpp
+++ b/emulator/state_service_emulator.cpp
@@ -11,31 +11,31 @@
 using wire::Json;
 
 namespace {
-constexpr std::size_t kMostChanges = 10'000, kMostItems = 1'000,
-                      kMostListed = std::size_t{512} * 1024;
-constexpr std::size_t kAnItem = 400;  // bytes, about
-constexpr Millis kTendEvery = 20, kLongestWatch = 60'000;
+constexpr std::size_t kMaxRetainedChanges = 10'000, kMaxItems = 1'000,
+                      kMaxListed = std::size_t{512} * 1024;  // bytes
+constexpr std::size_t kItemBytes = 400;                      // estimated size of a listed item
+constexpr Millis kMaintenanceInterval = 20, kMaxWatch = 60'000;
 constexpr double kMillisPerSecond = 1'000;
 }  // namespace
 
-bool RateLimit::take(double n, Millis now) {
+bool RateLimit::try_acquire(double n, Millis now) {
     if (per_s_ <= 0) return true;
-    left_ =
-        std::min(per_s_, left_ + per_s_ * static_cast<double>(now - filled_at_) / kMillisPerSecond);
-    filled_at_ = now;
-    if (left_ < n) return false;
-    left_ -= n;
+    available_ = std::min(
+        per_s_, available_ + per_s_ * static_cast<double>(now - refilled_at_) / kMillisPerSecond);
+    refilled_at_ = now;
+    if (available_ < n) return false;
+    available_ -= n;
     return true;
 }
 
 StateServiceEmulator::StateServiceEmulator(uv_loop_t* loop, Limits limits)
     : loop_(loop),
-      server_(loop, limits.most_connections,
+      server_(loop, limits.max_connections,
               [this](const net::Request& q, const net::Responder& r) { handle(q, r); }),
-      tend_timer_(loop, [this] { run_due_work(); }),
+      maintenance_timer_(loop, [this] { run_due_work(); }),
       requests_(limits.requests_per_s),
       changes_(limits.changes_per_s) {
-    tend_timer_.every(kTendEvery);
+    maintenance_timer_.every(kMaintenanceInterval);
 }
 
 StateServiceEmulator::StateServiceEmulator(uv_loop_t* loop, int port)
@@ -66,7 +66,7 @@
 
 void StateServiceEmulator::changed(const std::string& key) {
     log_.push_back({revision_, key});
-    if (log_.size() > kMostChanges) {
+    if (log_.size() > kMaxRetainedChanges) {
         oldest_retained_revision_ = log_.front().revision;
         log_.pop_front();
     }
@@ -90,8 +90,7 @@
     const Millis t = now();
     std::vector<std::uint64_t> ended;
     for (auto& [id, hold] : leases_) {
-        if (down)
-            hold.expires_at = t + hold.duration;  // after an outage every hold has its full time
+        if (down) hold.expires_at = t + hold.duration;  // leases start anew after an outage
         if (t >= hold.expires_at) ended.push_back(id);
     }
     for (std::uint64_t id : ended) expire_lease(id);
@@ -99,29 +98,28 @@
     std::erase_if(watches_, [&](const Watch& w) { return t >= w.until && answer_watch(w, true); });
 }
 
-// True when it has been answered.
-bool StateServiceEmulator::answer_watch(const Watch& w, bool over) {
+bool StateServiceEmulator::answer_watch(const Watch& w, bool timed_out) {
     if (w.after < oldest_retained_revision_) {
         reply(w.responder, 410, Json::object());
         return true;
     }
     auto first = std::upper_bound(log_.begin(), log_.end(), w.after,
                                   [](std::uint64_t e, const Change& c) { return e < c.revision; });
-    Json news = Json::array();
+    Json updates = Json::array();
     for (auto c = first; c != log_.end(); ++c) {
         if (c->key.rfind(w.prefix, 0) != 0) continue;
         auto it = keys_.find(c->key);
-        // Of several changes of a key the last one is told.
+        // Only the last of several changes of a key is reported.
         if (it != keys_.end() && it->second.version != c->revision) continue;
         Json i = item(c->key);
         if (i.contains("path")) {
             i["set"] = i["path"];
             i.erase("path");
         }
-        news.push_back(std::move(i));
+        updates.push_back(std::move(i));
     }
-    if (news.empty() && !over) return false;
-    reply(w.responder, 200, {{"epoch", revision_}, {"news", news}});
+    if (updates.empty() && !timed_out) return false;
+    reply(w.responder, 200, {{"epoch", revision_}, {"news", updates}});
     return true;
 }
 
@@ -136,7 +134,7 @@
     const Json none = Json::array();
     const Json& conditions = body.contains("when") ? body["when"] : none;
     const Json& writes = body.contains("writes") ? body["writes"] : none;
-    if (!changes_.take(static_cast<double>(writes.size()), now())) {
+    if (!changes_.try_acquire(static_cast<double>(writes.size()), now())) {
         ++counters_.refused;
         return reply(responder, 429, Json::object());
     }
@@ -171,7 +169,7 @@
 }
 
 void StateServiceEmulator::open_watch(const net::Request& q, const net::Responder& r) {
-    const Millis hold = std::min(kLongestWatch, number(q.query, "hold_ms", 0));
+    const Millis hold = std::min(kMaxWatch, number(q.query, "hold_ms", 0));
     Watch w{parameter(q.query, "under"), static_cast<std::uint64_t>(number(q.query, "from", 0)),
             now() + hold, r};
     if (down || !answer_watch(w, hold == 0)) watches_.push_back(std::move(w));
@@ -197,13 +195,13 @@
 
 void StateServiceEmulator::list(const net::Request& q, const net::Responder& r) {
     const std::string prefix = parameter(q.query, "under"), from = parameter(q.query, "from");
-    const std::size_t most = std::min<std::size_t>(
-        kMostItems, static_cast<std::size_t>(number(q.query, "limit", kMostItems)));
+    const std::size_t maximum = std::min<std::size_t>(
+        kMaxItems, static_cast<std::size_t>(number(q.query, "limit", kMaxItems)));
     Json items = Json::array();
     bool truncated = false;
     auto it = from.empty() ? keys_.lower_bound(prefix) : keys_.upper_bound(from);
     for (; it != keys_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
-        if (items.size() >= most || items.size() * kAnItem > kMostListed) {
+        if (items.size() >= maximum || items.size() * kItemBytes > kMaxListed) {
             truncated = true;
             break;
         }
@@ -218,7 +216,7 @@
     const bool watch = q.path == "/watch";
     if (down && !watch) return reply(r, 503, Json::object());
     if (!watch && too_many > 0 && --too_many >= 0) return reply(r, 429, Json::object());
-    if (!down && !requests_.take(1, now())) {
+    if (!down && !requests_.try_acquire(1, now())) {
         ++counters_.refused;
         return reply(r, 429, Json::object());
     }
--- a/emulator/state_service_emulator.h
+++ b/emulator/state_service_emulator.h
@@ -1,6 +1,7 @@
-// Emulates the state service on loopback, by the published protocol: keys, conditions, holds,
-// watches and limits, and the faults that it may have. For tests and scale runs; it keeps
-// everything in memory.
+/// @file
+/// Emulates the state service on loopback, for tests and scale runs. It implements the service's
+/// HTTP protocol (conditional transactions, leases, watches, rate limits), injects faults, and
+/// keeps all data in memory. The protocol calls leases "holds".
 #pragma once
 #include <uv.h>
 
@@ -17,48 +18,56 @@
 
 namespace nickelramp::emulator {
 
-// Requests or changes a second, with bursts of one second's worth. 0: no limit.
+/// Token bucket that holds the tokens of one second. A rate of 0 is no limit.
 class RateLimit {
   public:
-    explicit RateLimit(double per_s) : per_s_(per_s), left_(per_s) {}
-    bool take(double n, Millis now);
+    explicit RateLimit(double per_s) : per_s_(per_s), available_(per_s) {}
+    /// Takes `n` tokens.
+    /// @return false if fewer than `n` are available; then none is taken.
+    bool try_acquire(double n, Millis now);
 
   private:
-    double per_s_, left_;
-    Millis filled_at_ = 0;
+    double per_s_, available_;
+    Millis refilled_at_ = 0;
 };
 
+/// The state service: a versioned key-value store behind an HTTP server.
 class StateServiceEmulator {
   public:
+    /// Rates of 0 stand for no limit.
     struct Limits {
         double requests_per_s = 0, changes_per_s = 0;
-        std::size_t most_connections = 64;
+        std::size_t max_connections = 64;
     };
-    // What was asked of it.
+    /// Totals since the start. `changes` counts the keys written or deleted by transactions.
     struct Counters {
         std::uint64_t requests = 0, changes = 0, refused = 0, transactions = 0;
         std::uint64_t bytes_in = 0, bytes_out = 0;
         std::map<std::string, std::uint64_t> changes_by_prefix;
     };
     StateServiceEmulator(uv_loop_t* loop, Limits limits);
+    /// Listens on a port of 127.0.0.1, without limits. Aborts if it cannot listen.
     StateServiceEmulator(uv_loop_t* loop, int port);
-    // 0 or a libuv error.
+    /// @return 0 or a libuv error.
     int listen(const std::string& address);
 
-    bool down = false;          // everything gets 503; watches wait
-    int too_many = 0;           // so many requests are answered 429
-    bool swallow_next = false;  // the next transaction is applied, but nobody is told
-    std::size_t commits = 0;
+    bool down = false;          ///< requests are answered 503, watches are kept open
+    int too_many = 0;           ///< number of next requests to answer 429; watches are exempt
+    bool swallow_next = false;  ///< applies the next transaction without replying
+    std::size_t commits = 0;    ///< transactions received
     bool has(const std::string& key) const { return keys_.count(key) != 0; }
+    /// Returns the value, an empty object if there is no such key.
     wire::Json value(const std::string& key) const;
+    /// Ends a lease and deletes the keys attached to it.
     void expire_lease(std::uint64_t id);
     const Counters& counters() const { return counters_; }
+    /// Number of keys stored.
     std::size_t keys() const { return keys_.size(); }
 
   private:
     struct Entry {
         wire::Json value;
-        std::uint64_t version = 0, lease_id = 0;
+        std::uint64_t version = 0, lease_id = 0;  // revision of the last write; 0: no lease
     };
     struct Lease {
         Millis duration = 0, expires_at = 0;
@@ -69,7 +78,7 @@
     };
     struct Watch {
         std::string prefix;
-        std::uint64_t after = 0;
+        std::uint64_t after = 0;  // reports changes of later revisions
         Millis until = 0;
         net::Responder responder;
     };
@@ -81,18 +90,22 @@
     void commit(const wire::Json& body, const net::Responder& responder);
     void handle_leases(const net::Request& request, const net::Responder& responder);
     void list(const net::Request& request, const net::Responder& responder);
+    // Appends the key to the log of changes that watches read.
     void changed(const std::string& key);
     void answer_watches();
-    bool answer_watch(const Watch& watch, bool over);
+    // Returns whether the watch was answered: it has changes or its time is over.
+    bool answer_watch(const Watch& watch, bool timed_out);
+    // Expires leases and answers watches that have timed out.
     void run_due_work();
+    // Returns the key as the protocol encodes it: its value and version, or its deletion.
     wire::Json item(const std::string& key) const;
 
     uv_loop_t* loop_;
     net::HttpServer server_;
-    net::Timer tend_timer_;
+    net::Timer maintenance_timer_;
     RateLimit requests_, changes_;
     std::map<std::string, Entry> keys_;
-    std::deque<Change> log_;
+    std::deque<Change> log_;  // the latest changes, oldest first
     std::map<std::uint64_t, Lease> leases_;
     std::uint64_t revision_ = 1, next_lease_id_ = 1, oldest_retained_revision_ = 0;
     std::vector<Watch> watches_;
--- a/tests/emulator.cpp
+++ b/tests/emulator.cpp
@@ -5,12 +5,13 @@
 namespace nickelramp::test {
 
 bool run_until(uv_loop_t* loop, const std::function<bool()>& condition) {
-    bool over = false;
-    net::Timer limit(loop, [&] { over = true; });
-    net::Timer beat(loop, [] {});
+    bool timed_out = false;
+    net::Timer limit(loop, [&] { timed_out = true; });
+    // Ends each uv_run(), so that the condition is checked every 5 ms.
+    net::Timer wake_up(loop, [] {});
     limit.after(20'000);
-    beat.every(5);
-    while (!condition() && !over) uv_run(loop, UV_RUN_ONCE);
+    wake_up.every(5);
+    while (!condition() && !timed_out) uv_run(loop, UV_RUN_ONCE);
     return condition();
 }
 
--- a/tests/emulator.h
+++ b/tests/emulator.h
@@ -1,4 +1,5 @@
-// The stand-ins on loopback, for tests.
+/// @file
+/// Helpers for tests against the emulated state service on loopback.
 #pragma once
 #include <uv.h>
 
@@ -10,7 +11,8 @@
 
 using StateServiceEmulator = emulator::StateServiceEmulator;
 
-// Runs the loop until the condition holds; false if it never does.
+/// Runs the loop until the condition holds.
+/// @return whether it held within 20 s.
 bool run_until(uv_loop_t* loop, const std::function<bool()>& condition);
 
 }  // namespace nickelramp::test
