--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -18,7 +18,8 @@
 constexpr int kMisdirected = 421;
 constexpr int kUnavailable = 503;
 constexpr int kRetryAfterSeconds = 1;
-// Machines are provisioned up to the capacity of all controllers and do not spread evenly.
+// Machines are provisioned up to the total capacity of all controllers, but workers do not spread
+// evenly over the controllers.
 constexpr double kMaxOverbooking = 1.1;
 
 HeartbeatReply unavailable() { return {kUnavailable, "", 0, {}}; }
@@ -38,7 +39,7 @@
 
 void HeartbeatHandler::on_heartbeat_request(const net::Request& request,
                                             const net::Responder& responder) {
-    // A reply renews a lease: its time must not be from before the process was suspended.
+    // The reply renews a lease, so the time must not be from before the process was suspended.
     const Millis now = environment_.updated_now();
     const auto body = wire::decode_map(request.body);
     const auto heartbeat = body ? wire::decode_heartbeat(*body) : std::nullopt;
@@ -46,7 +47,8 @@
         responder.send({kBadRequest, "", 0, kCbor});
         return;
     }
-    if (!shard_holder_.holds(heartbeat->machine) && turn_away(*heartbeat, request, responder, now))
+    if (!shard_holder_.holds(heartbeat->machine) &&
+        redirect_or_reject(*heartbeat, request, responder, now))
         return;
     const auto answer = reply_locally(*heartbeat, request, now);
     if (!answer) {
@@ -60,12 +62,13 @@
     respond(responder, *answer);
 }
 
-bool HeartbeatHandler::turn_away(const wire::Heartbeat& heartbeat, const net::Request& request,
-                                 const net::Responder& responder, Millis now) {
+bool HeartbeatHandler::redirect_or_reject(const wire::Heartbeat& heartbeat,
+                                          const net::Request& request,
+                                          const net::Responder& responder, Millis now) {
     update_load(now);
     const std::uint64_t term = served_term(now);
-    // A worker is redirected only after it has been answered here: if nobody answers it at the
-    // other controller, its lease lasts for a while.
+    // A worker is redirected only after it got a reply here, so that its lease lasts for a while if
+    // it gets no reply from the other controller.
     if (!request.follows_ok_reply) {
         balancer_.on_worker_arrived(heartbeat.machine, now);
     } else if (term != 0) {
@@ -75,7 +78,8 @@
             return true;
         }
     }
-    // Users need sockets too: a worker beyond the capacity tries the next controller.
+    // Sockets must remain for user requests. A worker beyond the capacity is rejected and tries the
+    // next controller.
     const bool is_new = responder.classify(net::PeerKind::worker);
     const double max_workers =
         static_cast<double>(balancer_.own_worker_capacity()) * kMaxOverbooking;
@@ -95,14 +99,15 @@
     }
     control::ControlLoop* control_loop = environment_.leader_control_loop();
     if (control_loop == nullptr) return reply_for_leader(heartbeat, request, now);
-    // A leader that may not know of a cancellation must let the leases expire in time.
+    // A leader that may have missed cancellations must not renew leases, so that they expire in
+    // time.
     if (!environment_.may_renew_leases()) return LocalReply{unavailable(), 0};
     const std::uint64_t tag = responder_tag(Responder::leader, environment_.term());
     const bool follows = request.followed_reply_tag == tag;
     return LocalReply{control_loop->on_heartbeat(heartbeat, follows, now), tag};
 }
 
-// As partition responder.
+// Replies as partition responder.
 std::optional<HeartbeatHandler::LocalReply> HeartbeatHandler::reply_for_leader(
     const wire::Heartbeat& heartbeat, const net::Request& request, Millis now) {
     if (!environment_.responds_for_leader(now)) return std::nullopt;
@@ -120,8 +125,8 @@
     const bool follows = term != 0 && followed_tag == responder_tag(Responder::leader, term);
     auto pass_on = [this, responder](const HeartbeatReply& reply, std::uint64_t reply_term) {
         LocalReply answer{reply, responder_tag(Responder::leader, reply_term)};
-        // The shard is being leased to this controller: a redirect to it would send the worker in
-        // a circle. It is to try again.
+        // The shard is being leased to this controller. A redirect would lead the worker back here,
+        // so it is asked to try again.
         if (reply.holder == settings_.name) answer.reply = unavailable();
         respond(responder, answer);
     };
@@ -129,18 +134,19 @@
     redirect_to_leader(responder, now);
 }
 
-// Workers may reach the leader though its peers do not, and earlier versions forward nothing. The
-// leader is not named if it has said lately that it does not lead.
+// Workers may reach a leader that is unreachable for its peers, and earlier versions do not forward
+// heartbeats. The worker is not redirected if the elected leader recently reported that it does not
+// lead.
 void HeartbeatHandler::redirect_to_leader(const net::Responder& responder, Millis now) const {
     const std::string& leader = environment_.elected_leader();
-    if (leader.empty() || leader == settings_.name || denies_leadership(leader, now)) {
+    if (leader.empty() || leader == settings_.name || reported_not_leading(leader, now)) {
         responder.send({kUnavailable, "", kRetryAfterSeconds, kCbor});
     } else {
         responder.send({kMisdirected, wire::encode_redirect(leader), 0, kCbor});
     }
 }
 
-bool HeartbeatHandler::denies_leadership(const std::string& peer, Millis now) const {
+bool HeartbeatHandler::reported_not_leading(const std::string& peer, Millis now) const {
     const auto found = peer_leadership_.find(peer);
     return found != peer_leadership_.end() && !found->second.leads &&
            now - found->second.last_status_at < readiness::kPeerStatusLifetime;
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -1,5 +1,5 @@
-/// \file
-/// Answers the heartbeats of workers, directly or through the leader.
+/// @file
+/// Replies to heartbeats of workers, directly or by forwarding them to the leader.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -16,63 +16,65 @@
 
 namespace nickelramp::controller {
 
-/// Takes heartbeats whichever controller they are for. In this order:
+/// Handles the heartbeats of all workers that connect to this controller. The first of these rules
+/// that applies is used:
 ///
-/// - the shard holder answers machines of the shard that this controller holds,
-/// - a worker that another controller can serve better is redirected there (421), and one for
-///   which there is no socket left is rejected (503),
-/// - the leader answers all others,
-/// - a partition responder answers in the leader's name while the leader cannot be reached,
-/// - every other controller forwards them to the leader, or redirects (421) if it cannot.
+/// - The shard holder replies to machines of the shard that this controller holds.
+/// - A worker that another controller can serve better is redirected there (421). A worker beyond
+///   this controller's capacity is rejected (503).
+/// - The leader replies to all other workers.
+/// - A partition responder replies on behalf of the leader while the leader is unreachable.
+/// - Any other controller forwards the heartbeat to the leader, or redirects the worker to the
+///   leader (421) if forwarding is impossible.
 ///
-/// A reply that renews a lease is only given while the responder may renew leases; otherwise the
-/// reply is 503 and the worker tries again elsewhere. Malformed bodies are answered with 400.
+/// A reply renews a lease only while the responder may renew leases; otherwise the reply is 503 and
+/// the worker tries another controller. Malformed bodies are answered with 400.
 /// Called by RequestRouter, PeerCoordinator and the controller's tick, on the loop's thread.
 class HeartbeatHandler {
   public:
-    /// What the handler needs to know of the controller that it is a part of. Implemented by
-    /// Controller.
+    /// What the handler needs from the controller that owns it. Implemented by Controller.
     class Environment {
       public:
         virtual ~Environment() = default;
-        /// The loop's time in milliseconds, brought up to date: the cached time may be from before
-        /// the process was suspended.
+        /// Updates the loop's cached time, which may be from before the process was suspended, and
+        /// returns it.
         [[nodiscard]] virtual Millis updated_now() = 0;
-        /// The control loop of the running term; null unless this controller leads.
+        /// Returns the control loop of the running term, or null unless this controller leads.
         [[nodiscard]] virtual control::ControlLoop* leader_control_loop() = 0;
-        /// The term that this controller was elected to last.
+        /// Returns the last term that this controller was elected for.
         [[nodiscard]] virtual std::uint64_t term() const = 0;
-        /// Whether replies of this controller as leader may still renew leases.
+        /// Returns whether replies of this controller as leader may still renew leases.
         [[nodiscard]] virtual bool may_renew_leases() const = 0;
-        /// The leader according to the key-value store; empty: not known.
+        /// Returns the leader according to the key-value store, or an empty string if unknown.
         [[nodiscard]] virtual const std::string& elected_leader() const = 0;
-        /// Updates the partition responder and says whether it answers in the leader's name.
+        /// Updates the partition responder and returns whether it replies on behalf of the leader.
         [[nodiscard]] virtual bool responds_for_leader(Millis now) = 0;
-        /// Sockets in use for requests and for commands.
+        /// Returns the number of sockets in use for requests and for commands.
         [[nodiscard]] virtual std::size_t open_sockets() const = 0;
-        /// Sockets of workers that send heartbeats here.
+        /// Returns the number of sockets of workers that send heartbeats to this controller.
         [[nodiscard]] virtual std::size_t worker_sockets() const = 0;
     };
 
-    /// All references must outlive the handler. `send`: to a peer, batched.
+    /// All references must outlive the handler. `send` sends a message to a peer, batched.
     HeartbeatHandler(const wire::Settings& settings, Environment& environment,
                      control::ShardHolder& shard_holder,
                      partition::PartitionResponder& partition_responder,
                      relay::HeartbeatForwarder::Send send);
 
-    /// A heartbeat that came from its worker over HTTP. Answered now or when the leader's reply
-    /// arrives, at the latest after relay::kHeartbeatTimeout.
+    /// Handles a heartbeat that a worker sent over HTTP. Replies at once or, if the heartbeat is
+    /// forwarded, when the leader's reply arrives, at most relay::kHeartbeatTimeout later.
     void on_heartbeat_request(const net::Request& request, const net::Responder& responder);
-    /// A heartbeat that a peer forwarded to this controller as leader.
+    /// Handles a heartbeat that a peer forwarded to this controller as leader.
     void on_forwarded_heartbeat(const peers::ForwardedHeartbeat& forwarded);
-    /// The leader's reply to a heartbeat that this controller forwarded.
+    /// Handles the leader's reply to a heartbeat that this controller forwarded.
     void on_forwarded_reply(const peers::ForwardedReply& reply);
     void on_peer_status(const peers::Status& status, Millis now);
-    /// Expires forwarded heartbeats that were not answered in time, and updates the load.
+    /// Expires forwarded heartbeats that got no reply in time, and updates the load.
     void tick(Millis now);
-    /// How many workers all controllers together can serve.
+    /// Returns how many workers all controllers together can serve.
     [[nodiscard]] machines::WorkerCapacity worker_capacity(Millis now);
-    /// Adds to this controller's status what peers must know to send workers here.
+    /// Adds the fields to this controller's status by which peers decide whether to redirect
+    /// workers to it.
     void fill_status(peers::Status& status, Millis now) const;
 
     [[nodiscard]] const relay::HeartbeatForwarder& forwarder() const { return forwarder_; }
@@ -82,18 +84,18 @@
   private:
     struct LocalReply {
         machines::HeartbeatReply reply;
-        std::uint64_t tag = 0;  // in whose name, see relay/responder_tag.h
+        std::uint64_t tag = 0;  // identifies the responder, see relay/responder_tag.h
     };
     struct PeerLeadership {
         Millis last_status_at = 0;
         bool leads = false;
     };
 
-    // True: the worker has been answered, with another controller's name or because there is no
-    // socket left for it.
-    bool turn_away(const wire::Heartbeat& heartbeat, const net::Request& request,
-                   const net::Responder& responder, Millis now);
-    // Nothing: this controller is not the one to answer.
+    // Redirects a worker to a better controller, or rejects it if it is beyond this controller's
+    // capacity. Returns whether it did either.
+    bool redirect_or_reject(const wire::Heartbeat& heartbeat, const net::Request& request,
+                            const net::Responder& responder, Millis now);
+    // Returns nothing if another controller must reply.
     std::optional<LocalReply> reply_locally(const wire::Heartbeat& heartbeat,
                                             const net::Request& request, Millis now);
     std::optional<LocalReply> reply_for_leader(const wire::Heartbeat& heartbeat,
@@ -101,10 +103,10 @@
     void forward_to_leader(const wire::Heartbeat& heartbeat, std::uint64_t followed_tag,
                            const net::Responder& responder, Millis now);
     void update_load(Millis now);
-    // The term that this controller answers or forwards heartbeats for; 0: none.
+    // Returns the term for which this controller replies to or forwards heartbeats, or 0 if none.
     [[nodiscard]] std::uint64_t served_term(Millis now) const;
     void redirect_to_leader(const net::Responder& responder, Millis now) const;
-    [[nodiscard]] bool denies_leadership(const std::string& peer, Millis now) const;
+    [[nodiscard]] bool reported_not_leading(const std::string& peer, Millis now) const;
     static void respond(const net::Responder& responder, const LocalReply& answer);
 
     const wire::Settings& settings_;
