--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -17,10 +17,10 @@
 
 constexpr Millis kTickInterval = 200;
 constexpr Millis kPruneInterval = 1'000;
-constexpr Millis kRestAfterStepDown = 20'000;  // so that another controller is elected
-// Watches are answered more often than this while the key-value store answers at all.
-constexpr Millis kStoreSilence = 30'000;
-// Of the sockets, for commands to machines: one in so many.
+constexpr Millis kStepDownBackoff = 20'000;  // long enough for another controller to be elected
+// Watches get replies more often than this while the key-value store is reachable.
+constexpr Millis kStoreUnresponsiveAfter = 30'000;
+// One in this many of the process's sockets may be used for commands to workers.
 constexpr std::size_t kWorkerSocketDivisor = 6;
 
 std::uint64_t random_seed(const std::string& name) {
@@ -28,7 +28,7 @@
     return std::hash<std::string>{}(name) ^ (static_cast<std::uint64_t>(device()) << 16);
 }
 
-// 0 stands for no incarnation.
+// Never 0, which stands for no incarnation.
 std::uint64_t random_incarnation(const std::string& name) { return random_seed(name) | 1; }
 
 std::size_t server_sockets(const wire::Settings& settings) {
@@ -89,7 +89,7 @@
     return 0;
 }
 
-// --- connections of the parts
+// --- callbacks and dependencies of the components
 
 RoleServices::Connections Controller::role_connections() {
     return {clock_.loop(), store_client_, cloud_client_, peer_coordinator_};
@@ -138,8 +138,8 @@
         control_loop->set_role_fence(role, fence);
 }
 
-// Counts of a job's tasks for display: of the control loop, if this controller has one, else as the
-// leader broadcast them; zeros if they are not known here.
+// Returns a job's task counts for display: those of the control loop if this controller has one,
+// otherwise those of the leader's last broadcast. Zeros if neither knows the job.
 wire::TaskCounts Controller::progress_of(const std::string& job_id) const {
     if (const control::ControlLoop* control_loop = term_.control_loop()) {
         const auto progress = control_loop->progress(job_id);
@@ -150,8 +150,8 @@
 
 bool Controller::responds_for_leader(Millis now) {
     if (term_.phase() != TermPhase::idle) return false;
-    partition_responder_.update(peer_coordinator_.leader_seen_at(), store_client_.last_answer_at(),
-                                now);
+    partition_responder_.update(peer_coordinator_.last_leader_message_at(),
+                                store_client_.last_answer_at(), now);
     return partition_responder_.state() == partition::PartitionState::responding;
 }
 
@@ -161,7 +161,7 @@
         control_loop->set_machine_types(types);
 }
 
-// --- changes of the term
+// --- term lifecycle
 
 void Controller::on_term_starting() { shard_holder_.end("this controller leads"); }
 
@@ -180,7 +180,7 @@
     machine_types_.store_if_leading();
 }
 
-// --- the tick
+// --- periodic work
 
 void Controller::tick() {
     peer_coordinator_.broadcast_if_due();
@@ -208,7 +208,7 @@
 }
 
 void Controller::step_down(StepDownReason reason) {
-    election_.step_down(name(reason), kRestAfterStepDown);
+    election_.step_down(name(reason), kStepDownBackoff);
 }
 
 void Controller::prune_worker_connections(const control::ControlLoop& control_loop) {
@@ -237,7 +237,7 @@
 
 const char* Controller::store_health_text() const {
     if (readiness_.readiness().state() == readiness::ReadinessState::rejected) return "refuses";
-    const bool answers = clock_.now() - store_client_.last_answer_at() < kStoreSilence;
+    const bool answers = clock_.now() - store_client_.last_answer_at() < kStoreUnresponsiveAfter;
     return answers ? "answers" : "is silent";
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,5 +1,5 @@
-/// \file
-/// One controller process: the composition of all its parts.
+/// @file
+/// Composes the components of one controller process and connects them.
 #pragma once
 #include <uv.h>
 
@@ -34,26 +34,26 @@
 
 namespace nickelramp::controller {
 
-/// What is served only if the command line asks for it.
+/// Features that are off unless the command line enables them.
 struct FeatureFlags {
-    bool drain_plans = false;  ///< Drain plans, under `/admin/plans`.
+    bool drain_plans = false;  ///< Serve drain plans under `/admin/plans`.
 };
 
-/// Owns every part of the process, connects them, and runs the periodic tick. It decides nothing
-/// itself: each interface that it implements says what one part needs of the others. Created by
-/// `main`; everything runs on the loop's thread. Once started it serves until the process ends;
-/// services that do not answer are retried by the parts that need them.
+/// Owns the components of the process, connects them and runs the periodic tick. It makes no
+/// decisions itself. Each interface that it implements gives one component access to the others.
+/// Created by `main`; everything runs on the loop's thread. Once started, it serves until the
+/// process ends. The components retry calls to services that do not respond.
 class Controller : private HeartbeatHandler::Environment,
                    private MachineTypeStore::Listener,
                    private TermRunner::Listener,
                    private election::ElectionObserver,
                    private admin::AdminRequestHandler::Backend {
   public:
-    /// The loop and the settings must outlive the controller. Nothing is sent before `start`.
+    /// The loop and the settings must outlive the controller. No message is sent before `start`.
     Controller(uv_loop_t* loop, const wire::Settings& settings, const FeatureFlags& features);
 
-    /// Listens for requests and peers and begins to work. 0 or a libuv error; after an error the
-    /// controller is of no use.
+    /// Starts listening for requests and peers, and starts all components.
+    /// @return 0 or a libuv error code. After an error, the controller must not be used.
     [[nodiscard]] int start();
 
   private:
@@ -92,7 +92,7 @@
     void update_gauges() override;
     void on_options_changed(const admin::Options& options) override;
 
-    // Connections of the parts that take hooks.
+    // Callbacks and dependencies of the components.
     api::JobRequestHandler::Hooks job_request_hooks();
     RoleServices::Connections role_connections();
     void on_role_fence_changed(lease::Role role, std::uint64_t fence);
--- a/src/controller/peer_coordinator.cpp
+++ b/src/controller/peer_coordinator.cpp
@@ -21,19 +21,19 @@
 }  // namespace
 
 PeerCoordinator::PeerCoordinator(const Dependencies& dependencies)
-    : parts_(dependencies),
+    : dependencies_(dependencies),
       network_(dependencies.clock.loop(), dependencies.settings.peers, *this) {}
 
 int PeerCoordinator::listen() {
-    return network_.listen(*net::parse_address(parts_.settings.peer_listen));
+    return network_.listen(*net::parse_address(dependencies_.settings.peer_listen));
 }
 
 void PeerCoordinator::on_peer_status(const peers::Status& status) {
-    const Millis now = parts_.clock.now();
-    parts_.role_manager.on_status(status, now);
-    parts_.heartbeat_handler.on_peer_status(status, now);
-    parts_.readiness.on_peer_status(status);
-    if (control::ControlLoop* control_loop = parts_.term.running_control_loop()) {
+    const Millis now = dependencies_.clock.now();
+    dependencies_.role_manager.on_status(status, now);
+    dependencies_.heartbeat_handler.on_peer_status(status, now);
+    dependencies_.readiness.on_peer_status(status);
+    if (control::ControlLoop* control_loop = dependencies_.term.running_control_loop()) {
         control_loop->on_peer_status(status, now);
         displayed_counts_.clear();
     } else if (status.term != 0) {
@@ -42,8 +42,8 @@
 }
 
 void PeerCoordinator::on_leader_status(const peers::Status& status) {
-    const Millis now = parts_.clock.now();
-    leader_seen_at_ = now;
+    const Millis now = dependencies_.clock.now();
+    last_leader_message_at_ = now;
     lost_zones_.clear();
     for (const auto& lost : status.lost_zones)
         lost_zones_[lost.zone] = now - static_cast<Millis>(lost.age_ms);
@@ -52,44 +52,44 @@
 }
 
 void PeerCoordinator::on_shard_grant(const peers::ShardGrant& grant) {
-    if (parts_.term.running()) return;
-    parts_.shard_holder.on_grant(grant, parts_.machine_types.types());
+    if (dependencies_.term.running()) return;
+    dependencies_.shard_holder.on_grant(grant, dependencies_.machine_types.types());
 }
 
 void PeerCoordinator::on_shard_status(const peers::ShardStatus& status) {
-    if (control::ControlLoop* control_loop = parts_.term.running_control_loop())
-        control_loop->on_shard_status(status, parts_.clock.now());
+    if (control::ControlLoop* control_loop = dependencies_.term.running_control_loop())
+        control_loop->on_shard_status(status, dependencies_.clock.now());
 }
 
 void PeerCoordinator::on_heartbeat_delegation(const peers::HeartbeatDelegation& delegation) {
-    const Millis now = parts_.clock.now();
-    leader_seen_at_ = now;
-    parts_.partition_responder.on_delegation(delegation, parts_.shard_holder.holder().incarnation(),
-                                             now);
+    const Millis now = dependencies_.clock.now();
+    last_leader_message_at_ = now;
+    dependencies_.partition_responder.on_delegation(
+        delegation, dependencies_.shard_holder.holder().incarnation(), now);
 }
 
 void PeerCoordinator::on_role_assignment(const peers::RoleAssignment& assignment) {
-    parts_.role_manager.on_assignment(assignment, parts_.clock.now());
+    dependencies_.role_manager.on_assignment(assignment, dependencies_.clock.now());
 }
 
 void PeerCoordinator::on_delegated_request(const peers::DelegatedRequest& request) {
-    parts_.role_manager.on_delegated_request(request);
+    dependencies_.role_manager.on_delegated_request(request);
 }
 
 void PeerCoordinator::on_delegated_result(const peers::DelegatedResult& result) {
-    parts_.role_manager.on_delegated_result(result, parts_.clock.now());
+    dependencies_.role_manager.on_delegated_result(result, dependencies_.clock.now());
 }
 
 void PeerCoordinator::on_forwarded_heartbeat(const peers::ForwardedHeartbeat& heartbeat) {
-    parts_.heartbeat_handler.on_forwarded_heartbeat(heartbeat);
+    dependencies_.heartbeat_handler.on_forwarded_heartbeat(heartbeat);
 }
 
 void PeerCoordinator::on_forwarded_reply(const peers::ForwardedReply& reply) {
-    parts_.heartbeat_handler.on_forwarded_reply(reply);
+    dependencies_.heartbeat_handler.on_forwarded_reply(reply);
 }
 
 void PeerCoordinator::broadcast_if_due() {
-    const Millis now = parts_.clock.now();
+    const Millis now = dependencies_.clock.now();
     if (now < next_broadcast_at_) return;
     next_broadcast_at_ = now + kBroadcastInterval;
     broadcast();
@@ -97,27 +97,28 @@
 
 void PeerCoordinator::broadcast() {
     network_.send_all(peers::encode(make_status()));
-    if (parts_.term.running()) {
+    if (dependencies_.term.running()) {
         send_shard_grants();
         send_heartbeat_delegations();
-        parts_.role_manager.send_assignment(parts_.clock.now());
+        dependencies_.role_manager.send_assignment(dependencies_.clock.now());
     }
-    const control::ShardHolder& holder = parts_.shard_holder.holder();
+    const control::ShardHolder& holder = dependencies_.shard_holder.holder();
     if (const auto status = holder.status()) network_.send(holder.leader(), peers::encode(*status));
 }
 
 peers::Status PeerCoordinator::make_status() const {
-    const Millis now = parts_.clock.now();
-    const control::ControlLoop* control_loop = parts_.term.running_control_loop();
+    const Millis now = dependencies_.clock.now();
+    const control::ControlLoop* control_loop = dependencies_.term.running_control_loop();
     peers::Status status;
-    status.from = parts_.settings.name;
-    status.incarnation = parts_.shard_holder.holder().incarnation();
+    status.from = dependencies_.settings.name;
+    status.incarnation = dependencies_.shard_holder.holder().incarnation();
     status.clock_ms = static_cast<std::uint64_t>(now);
-    status.term = control_loop != nullptr ? parts_.term.term() : 0;
-    status.state_age_ms = static_cast<std::uint64_t>(now - parts_.store_client.last_answer_at());
-    parts_.partition_responder.fill_status(status, now);
-    parts_.role_manager.fill_status(status, now);
-    parts_.heartbeat_handler.fill_status(status, now);
+    status.term = control_loop != nullptr ? dependencies_.term.term() : 0;
+    status.state_age_ms =
+        static_cast<std::uint64_t>(now - dependencies_.store_client.last_answer_at());
+    dependencies_.partition_responder.fill_status(status, now);
+    dependencies_.role_manager.fill_status(status, now);
+    dependencies_.heartbeat_handler.fill_status(status, now);
     if (control_loop != nullptr) {
         status.lost_zones = control_loop->lost_zones(now);
         add_progress(*control_loop, status);
@@ -126,23 +127,23 @@
 }
 
 void PeerCoordinator::send_shard_grants() {
-    control::ControlLoop* control_loop = parts_.term.running_control_loop();
+    control::ControlLoop* control_loop = dependencies_.term.running_control_loop();
     if (control_loop == nullptr) return;
-    for (const auto& [peer, grant] :
-         control_loop->shard_renewals(parts_.term.cancellations_known_until(), parts_.clock.now()))
+    for (const auto& [peer, grant] : control_loop->shard_renewals(
+             dependencies_.term.cancellations_known_until(), dependencies_.clock.now()))
         send_as_leader(peer, peers::encode(grant));
 }
 
 void PeerCoordinator::send_heartbeat_delegations() {
-    control::ControlLoop* control_loop = parts_.term.running_control_loop();
+    control::ControlLoop* control_loop = dependencies_.term.running_control_loop();
     if (control_loop == nullptr) return;
     for (const auto& [peer, delegation] : control_loop->heartbeat_delegations(
-             parts_.term.cancellations_known_until(), parts_.clock.now()))
+             dependencies_.term.cancellations_known_until(), dependencies_.clock.now()))
         send_as_leader(peer, peers::encode(delegation));
 }
 
 bool PeerCoordinator::send_as_leader(const std::string& peer, const peers::LeaderFrame& frame) {
-    const auto proof = parts_.term.scheduling_guard().prove();
+    const auto proof = dependencies_.term.scheduling_guard().prove();
     return proof && network_.send(*proof, peer, frame);
 }
 
--- a/src/controller/peer_coordinator.h
+++ b/src/controller/peer_coordinator.h
@@ -1,5 +1,5 @@
-/// \file
-/// What this controller tells the other controllers, and what it does with what they send.
+/// @file
+/// Sends this controller's messages to the other controllers and dispatches received ones.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,13 +22,14 @@
 namespace nickelramp::controller {
 
 /// Owns the connections to the other controllers. Every second it broadcasts this controller's
-/// status and, as leader, sends shard grants, heartbeat delegations and role assignments; as
-/// shard holder it reports to the leader. Received messages are handed to the parts that handle
-/// them. Messages may be lost: each is repeated by its sender's next broadcast or times out there.
-/// What only a leader may send goes out only while its lease lasts. Runs on the loop's thread.
+/// status. As leader it also sends shard grants, heartbeat delegations and role assignments, and as
+/// shard holder it sends the shard's status to the leader. It passes received messages to the
+/// components that handle them. Messages may be lost: each is either repeated with its sender's
+/// next broadcast or times out at the sender. Messages that only a leader may send are sent only
+/// while its lease is valid. Runs on the loop's thread.
 class PeerCoordinator : private peers::PeerMessageHandler {
   public:
-    /// The parts that send or receive through the peers; all must outlive the coordinator.
+    /// The components whose messages are sent or received. All must outlive the coordinator.
     struct Dependencies {
         const wire::Settings& settings;
         const LoopClock& clock;
@@ -43,23 +44,25 @@
     };
     explicit PeerCoordinator(const Dependencies& dependencies);
 
-    /// Accepts connections of peers. 0 or a libuv error.
+    /// Starts accepting connections from peers.
+    /// @return 0 or a libuv error code.
     [[nodiscard]] int listen();
-    /// Broadcasts when a second has passed since the last time.
+    /// Broadcasts if a second has passed since the last broadcast.
     void broadcast_if_due();
-    /// Sends all shard holders their leases as they now are. Only while a term runs.
+    /// Sends all shard holders their current leases. Does nothing unless a term runs.
     void send_shard_grants();
 
-    /// Sends a message that only a leader may send. False: this controller's lease as leader has
-    /// ended, or the peer cannot be reached.
+    /// Sends a message that only a leader may send.
+    /// @return False if this controller's lease as leader has ended or the peer is unreachable.
     bool send_as_leader(const std::string& peer, const peers::LeaderFrame& frame);
     [[nodiscard]] peers::PeerNetwork& network() { return network_; }
 
-    /// When the last message of a leader came, in the loop's time; 0: never.
-    [[nodiscard]] Millis leader_seen_at() const { return leader_seen_at_; }
-    /// A job's counts as the leader last broadcast them; zeros if it did not.
+    /// Returns when the last message of a leader was received, in the loop's time, or 0 if never.
+    [[nodiscard]] Millis last_leader_message_at() const { return last_leader_message_at_; }
+    /// Returns a job's task counts from the leader's last broadcast, or zeros if it had none.
     [[nodiscard]] wire::TaskCounts displayed_counts(const std::string& job_id) const;
-    /// Tells a new control loop which zones the last leader had lost, and forgets them.
+    /// Passes the zones that the last leader reported as lost to a new control loop, and clears
+    /// them.
     void hand_over_lost_zones(control::ControlLoop& control_loop);
 
   private:
@@ -79,11 +82,11 @@
     [[nodiscard]] peers::Status make_status() const;
     void send_heartbeat_delegations();
 
-    const Dependencies parts_;
+    const Dependencies dependencies_;
     peers::PeerNetwork network_;
     std::map<std::string, wire::TaskCounts> displayed_counts_;  // by job id
-    std::map<std::string, Millis> lost_zones_;  // since when, as the leader last broadcast them
-    Millis leader_seen_at_ = 0;
+    std::map<std::string, Millis> lost_zones_;  // by zone: since when, per the leader
+    Millis last_leader_message_at_ = 0;
     Millis next_broadcast_at_ = 0;
 };
 
