--- a/src/controller/open_job_watcher.h
+++ b/src/controller/open_job_watcher.h
@@ -1,5 +1,5 @@
-/// \file
-/// Follows the records of open jobs in the key-value store for the leader.
+/// @file
+/// Watches the records of open jobs in the key-value store for the leader.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -10,29 +10,31 @@
 
 namespace nickelramp::controller {
 
-/// Watches the prefix `open/` while a term runs. Watches are short, so that it is known every two
-/// seconds up to when every cancellation has been seen. A watch that has fallen behind the
-/// retained changes is replaced by a list of all open jobs; failed calls are repeated after a
-/// pause. Runs on the loop's thread; used by TermRunner alone.
+/// Watches the prefix `open/` while a term runs. Each watch is short, so that the time up to which
+/// all cancellations are known advances every two seconds. If a watch has fallen behind the changes
+/// that the store retains, all open jobs are listed instead. Failed calls are retried after a
+/// pause. Runs on the loop's thread; used only by TermRunner.
 class OpenJobWatcher {
   public:
-    /// Implemented by TermRunner. May call `stop` from each.
+    /// Implemented by TermRunner. Each function may call `stop`.
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// A complete list, in place of changes that were missed.
+        /// Receives all open jobs after the watch has missed changes.
         virtual void on_open_jobs_listed(const kvstore::ListReply& all) = 0;
-        /// Records that were written or deleted, in the order of their revisions; never empty.
+        /// Receives records that were written or deleted, in the order of their revisions. Never
+        /// empty.
         virtual void on_open_jobs_changed(const std::vector<kvstore::Entry>& changes) = 0;
-        /// Every cancellation that was recorded up to `until` (the loop's time) is known.
+        /// Called when every cancellation that was recorded up to `until` (the loop's time) is
+        /// known.
         virtual void on_cancellations_known(Millis until) = 0;
     };
 
     OpenJobWatcher(const LoopClock& clock, kvstore::Client& store_client, Listener& listener);
 
-    /// Begins to watch at once, for changes after `revision`.
+    /// Starts watching for changes after `revision` at once.
     void start(std::uint64_t revision);
-    /// Replies that are still to come are dropped.
+    /// Stops watching. Replies that arrive later are dropped.
     void stop();
 
   private:
@@ -49,7 +51,7 @@
     net::Timer retry_timer_;
     bool watching_ = false;
     std::uint64_t revision_ = 0;
-    std::uint64_t generation_ = 0;  // of starts; late replies of earlier ones are dropped
+    std::uint64_t generation_ = 0;  // incremented by start and stop to drop late replies
 };
 
 }  // namespace nickelramp::controller
--- a/src/controller/term_loader.cpp
+++ b/src/controller/term_loader.cpp
@@ -18,8 +18,9 @@
     kvstore::ListReply TermRecords::*destination;
 };
 
-// Open jobs first: all other records change only on condition of the term, but users add and cancel
-// jobs meanwhile. The watch of the open jobs continues from the revision of this list.
+// Open jobs are read first because users may add and cancel jobs during the read, whereas all other
+// records change only in transactions conditional on the term. The watch of the open jobs continues
+// from the revision of this list.
 constexpr ReadStep kReadSteps[] = {
     {"open/", &TermRecords::open_jobs},
     {"run/", &TermRecords::run_records},
--- a/src/controller/term_loader.h
+++ b/src/controller/term_loader.h
@@ -1,5 +1,5 @@
-/// \file
-/// Reads all records that a new leader needs and puts them into its control loop.
+/// @file
+/// Reads all records that a new leader needs and loads them into its control loop.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,34 +12,34 @@
 
 namespace nickelramp::controller {
 
-/// What the key-value store holds of earlier terms.
+/// The records of earlier terms in the key-value store.
 struct TermRecords {
-    Millis requested_at = 0;  ///< When the first list, that of the open jobs, was asked for.
+    Millis requested_at = 0;  ///< When the first list, that of the open jobs, was requested.
     kvstore::ListReply open_jobs;
     kvstore::ListReply run_records;
     kvstore::ListReply shards;
     kvstore::ListReply provisioning_intents;
 };
 
-/// Reads the records of a term, one prefix after the other. Waits until the machine types are
-/// known; any failed list starts the whole read anew after a pause, until it succeeds or is
-/// stopped. Runs on the loop's thread; used by TermRunner alone.
+/// Reads the records for a term, one prefix after the other. Waits until the machine types are
+/// known. If any list fails, the whole read is restarted after a pause, until it succeeds or is
+/// stopped. Runs on the loop's thread; used only by TermRunner.
 class TermLoader {
   public:
     /// Implemented by TermRunner.
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// Called once per `start` unless `stop` comes first.
+        /// Called once per `start`, unless `stop` is called before.
         virtual void on_term_records(const TermRecords& records) = 0;
     };
 
     TermLoader(const LoopClock& clock, kvstore::Client& store_client,
                const MachineTypeStore& machine_types, Listener& listener);
 
-    /// Begins to read at once.
+    /// Starts reading at once.
     void start();
-    /// Replies that are still to come are dropped.
+    /// Stops reading. Replies that arrive later are dropped.
     void stop();
 
   private:
@@ -52,11 +52,12 @@
     Listener& listener_;
     net::Timer retry_timer_;
     bool loading_ = false;
-    std::uint64_t generation_ = 0;  // of starts; late replies of earlier ones are dropped
+    std::uint64_t generation_ = 0;  // incremented by start and stop to drop late replies
 };
 
-/// Puts the records into a control loop that has its machine types and has not been started.
-/// Records that cannot be decoded are logged or, as shards, passed over.
+/// Loads the records into a control loop that has its machine types and has not been started. Job
+/// and run records that cannot be decoded are logged and skipped. Such shards are skipped without a
+/// log line.
 void load_term_records(const TermRecords& records, const LoopClock& clock,
                        control::ControlLoop& control_loop);
 
--- a/src/controller/term_runner.cpp
+++ b/src/controller/term_runner.cpp
@@ -81,7 +81,7 @@
     services_.state.set_limits(store_rate_limits(settings_, false));
     phase_ = TermPhase::closing;
     listener_.on_term_ended();
-    // Not at once: a function of the control loop may be on the stack.
+    // The control loop is destroyed later because one of its functions may be on the stack.
     close_timer_.after(0);
 }
 
@@ -113,9 +113,9 @@
     if (running()) listener_.on_open_jobs_applied();
 }
 
-// Only while the lease is certain: once another controller may lead, the replies of this one must
-// not renew a worker's lease beyond what the other assumes to be the end of its predecessor's last
-// leases.
+// The time advances only while this controller's lease is certainly valid. Once another controller
+// may lead, replies of this one must not renew a worker's lease beyond the time at which the new
+// leader assumes that the last leases of its predecessor have ended.
 void TermRunner::on_cancellations_known(Millis until) {
     if (LoopClock::steady_now() < election_.lease_valid_until())
         cancellations_known_until_ = std::max(cancellations_known_until_, until);
--- a/src/controller/term_runner.h
+++ b/src/controller/term_runner.h
@@ -1,6 +1,6 @@
-/// \file
-/// The elected term of this controller: from the election, through reading its records and running
-/// its control loop, to its end.
+/// @file
+/// Manages the life cycle of the term that this controller was elected for: loading its records,
+/// running its control loop, and closing it.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -18,46 +18,48 @@
 
 namespace nickelramp::controller {
 
-/// idle:    this controller does not lead
-/// loading: elected; the records of earlier terms are being read
-/// running: the control loop decides
-/// closing: the term is over; its control loop is destroyed at the next loop iteration
+/// The phases of a term:
+///
+///     idle      this controller does not lead
+///     loading   elected; the records of earlier terms are being read
+///     running   the control loop makes decisions
+///     closing   the term is over; its control loop is destroyed in the next loop iteration
 enum class TermPhase { idle, loading, running, closing };
 
-/// Owns the control loop of the elected term, the gateway through which it acts, and the guards
-/// that say until when it may. Each phase is entered by one function only:
+/// Owns the control loop of the elected term, its gateway, and the lease guards that limit until
+/// when it may act. Each phase is entered by one function only:
 ///
-///     idle, closing -> loading   begin_loading   elected
-///     loading -> running         begin_running   all records are read
+///     idle, closing -> loading     begin_loading   elected
+///     loading -> running           begin_running   all records are read
 ///     loading, running -> closing  begin_closing   deposed or stepped down
-///     closing -> idle            finish_closing  next loop iteration
+///     closing -> idle              finish_closing  next loop iteration
 ///
-/// Guarantees that nothing of an ended term is acted upon: late replies of the key-value store are
-/// dropped, and what is still queued is not sent once the lease has ended. Errors while loading are
-/// retried for as long as the term lasts. Called by the election's hooks and by Controller, on the
-/// loop's thread.
+/// Guarantees that an ended term has no further effects: late replies of the key-value store are
+/// dropped, and queued requests are not sent once the lease has ended. Failures while loading are
+/// retried for as long as the term lasts. Called by the election's callbacks and by Controller, on
+/// the loop's thread.
 class TermRunner : private TermLoader::Listener, private OpenJobWatcher::Listener {
   public:
-    /// What the rest of the controller does when the phase changes. Implemented by Controller.
+    /// Notified when the phase or the open jobs change. Implemented by Controller.
     class Listener {
       public:
         virtual ~Listener() = default;
-        /// This controller was elected; the phase has not changed yet.
+        /// This controller was elected, but the phase has not changed yet.
         virtual void on_term_starting() = 0;
-        /// The control loop exists and knows the machine types; no record has been loaded into it.
+        /// The control loop was created and has the machine types, but no records are loaded yet.
         virtual void on_control_loop_created(control::ControlLoop& control_loop) = 0;
-        /// All records are loaded; the control loop has not been started.
+        /// All records are loaded, but the control loop has not been started.
         virtual void on_term_loaded(control::ControlLoop& control_loop) = 0;
-        /// The control loop has been started and the open jobs are watched. The term may already
-        /// have ended again.
+        /// The control loop has been started and the open jobs are watched, unless the term has
+        /// already ended.
         virtual void on_term_started() = 0;
-        /// The term is over; its control loop lives until the next loop iteration.
+        /// The term is over. Its control loop exists until the next loop iteration.
         virtual void on_term_ended() = 0;
-        /// Open jobs have changed, and the control loop has acted upon it.
+        /// Open jobs have changed, and the control loop has processed the changes.
         virtual void on_open_jobs_applied() = 0;
     };
 
-    /// All of it must outlive the TermRunner; only references are taken in the constructor.
+    /// All must outlive the TermRunner. The constructor only stores references.
     struct Dependencies {
         const wire::Settings& settings;
         const LoopClock& clock;
@@ -68,33 +70,35 @@
 
     TermRunner(const Dependencies& dependencies, Listener& listener);
 
-    /// This controller was elected. `version`: of the term's key, the condition of every
-    /// transaction of the term.
+    /// Starts a term that this controller was elected for. `version` is that of the term's key,
+    /// which is the condition of every transaction of the term.
     void begin_loading(std::uint64_t term, std::uint64_t version);
-    /// The term is over. Does nothing when idle.
+    /// Ends the term. Does nothing when idle.
     void begin_closing();
-    /// The leader's lease certainly lasts until then, in the loop's time.
+    /// Records that the leader's lease is valid until `until`, in the loop's time.
     void confirm_lease_until(Millis until);
 
     [[nodiscard]] TermPhase phase() const { return phase_; }
     [[nodiscard]] bool running() const { return phase_ == TermPhase::running; }
-    /// The number of the last term that this controller was elected to; 0: none.
+    /// Returns the number of the last term that this controller was elected for, or 0 if none.
     [[nodiscard]] std::uint64_t term() const { return term_; }
-    /// Null while idle and until the records are read; still there while closing.
+    /// Returns null while idle and until the records are read. Not null while a running term
+    /// closes.
     [[nodiscard]] control::ControlLoop* control_loop() const { return control_loop_.get(); }
-    /// Null unless the term runs.
+    /// Returns null unless the term runs.
     [[nodiscard]] control::ControlLoop* running_control_loop() const {
         return running() ? control_loop_.get() : nullptr;
     }
-    /// Every cancellation that was recorded up to then, in the loop's time, is known.
+    /// Returns the loop's time up to which every recorded cancellation is known.
     [[nodiscard]] Millis cancellations_known_until() const { return cancellations_known_until_; }
 
-    /// The lease to decide as leader; its fence is the term. Empty while idle or closing.
+    /// Returns the lease under which the leader schedules. Its fence is the term. Empty while idle
+    /// or closing.
     [[nodiscard]] lease::Lease scheduling_lease() const;
     [[nodiscard]] const lease::LeaseGuard<lease::Scheduling>& scheduling_guard() const {
         return scheduling_guard_;
     }
-    /// May the leader's heartbeat replies still renew leases of workers?
+    /// Returns whether the leader's heartbeat replies may still renew leases of workers.
     [[nodiscard]] bool may_renew_leases() const { return responding_guard_.prove().has_value(); }
 
   private:
