--- a/src/controller/leadership_monitor.h
+++ b/src/controller/leadership_monitor.h
@@ -1,5 +1,5 @@
-/// \file
-/// Decides when a leader should give up its term because another controller could do better.
+/// @file
+/// Decides when a leader should step down because another controller may serve the cluster better.
 #pragma once
 #include <optional>
 
@@ -11,34 +11,36 @@
 
 namespace nickelramp::controller {
 
-/// Why a leader gives up its term.
+/// Why a leader steps down.
 enum class StepDownReason {
-    machines_unreachable,  ///< Most machines of every zone have been unresponsive for long.
-    commands_lost,         ///< Heartbeats arrive through peers; no command reaches a machine.
-    rejected_by_store,     ///< The key-value store rejects this controller and serves others.
+    machines_unreachable,  ///< Most machines of every zone have been unresponsive for some time.
+    commands_lost,         ///< Heartbeats arrive through peers, but no command reaches a machine.
+    rejected_by_store,     ///< The key-value store rejects this controller but serves others.
 };
 
-/// The reason in words, for the log.
+/// Returns a description of the reason for the log.
 [[nodiscard]] const char* name(StepDownReason reason);
 
-/// Watches over the leader's reach. Called from the controller's tick while a term runs; it
-/// measures no time itself and changes nothing: the caller steps down.
+/// Checks whether the leader reaches its machines and the key-value store. Called with the current
+/// time by the controller's tick while a term runs. It only recommends stepping down; the caller
+/// acts on it.
 class LeadershipMonitor {
   public:
     explicit LeadershipMonitor(const wire::Settings& settings) : settings_(settings) {}
 
-    /// Whether the leader reaches its machines. Nothing while its lease is uncertain: then the
-    /// trouble may be on the way to the key-value store.
+    /// Returns a reason to step down if the leader does not reach its machines. Returns nothing
+    /// while its lease is uncertain, as the fault may then be in the path to the key-value store.
     [[nodiscard]] std::optional<StepDownReason> check_machines(
         const control::ControlLoop& control_loop, election::ElectionState state, Millis now);
 
-    /// Whether the key-value store rejects the leader alone, so that its lease cannot be renewed.
+    /// Returns a reason to step down if the key-value store rejects this leader alone, so that its
+    /// lease cannot be renewed.
     [[nodiscard]] static std::optional<StepDownReason> check_store(
         const readiness::Readiness& readiness, election::ElectionState state);
 
   private:
     const wire::Settings& settings_;
-    Millis unresponsive_since_ = 0;  // 0: machines respond
+    Millis unresponsive_since_ = 0;  // 0 while machines respond
 };
 
 }  // namespace nickelramp::controller
--- a/src/controller/live_service_gateway.h
+++ b/src/controller/live_service_gateway.h
@@ -1,5 +1,5 @@
-/// \file
-/// The gateway of a control loop to the real services: key-value store, workers and cloud.
+/// @file
+/// Connects a control loop to the real services: key-value store, workers and cloud.
 #pragma once
 #include <uv.h>
 
@@ -15,29 +15,29 @@
 
 namespace nickelramp::controller {
 
-/// A check to be made as the bytes of a request go out, however long it was queued: does the lease
-/// that lasted when this function was called still last? If none lasted then, the check is always
-/// false.
+/// Returns a check that is made right before the bytes of a request are sent, however long it was
+/// queued. The check tells whether the lease that was valid when this function was called is still
+/// valid. It always fails if no lease was valid at the call.
 template <typename For>
 net::HttpClient::MaySend while_valid(const lease::LeaseGuard<For>& guard) {
     return [proof = guard.prove()] { return proof && proof->is_valid(); };
 }
 
-/// Sends what a control loop asks for, each call under the lease that it needs: transactions and
+/// Sends the calls of a control loop, each under the lease that it requires: transactions and
 /// commands that start tasks under the scheduling lease, all other commands under the responding
-/// lease, requests to the cloud through the role manager. What the lease no longer covers is not
-/// sent; its callback is then called with an outcome that says so. The leader has one gateway, a
-/// shard holder another. Runs on the loop's thread.
+/// lease, and requests to the cloud through the role manager. A call whose lease has ended is not
+/// sent, and its callback receives an outcome that says so. The leader and the shard holder each
+/// have a gateway of their own. Runs on the loop's thread.
 class LiveServiceGateway : public cluster::ServiceGateway {
   public:
-    /// The services; all must outlive the gateway.
+    /// The services that the gateway calls. All must outlive it.
     struct Services {
         uv_loop_t* loop;
         kvstore::Client& state;
         WorkerConnections& worker_connections;
         roles::RoleManager& role_manager;
     };
-    /// Called with a reason for the log when a transaction shows that somebody else leads.
+    /// Called with a reason for the log when a transaction shows that another controller leads.
     using OnDeposed = std::function<void(const std::string& reason)>;
 
     LiveServiceGateway(Services services,
--- a/src/controller/role_services.cpp
+++ b/src/controller/role_services.cpp
@@ -61,7 +61,7 @@
 
 // --- peers
 
-// An assignment that is not sent is repeated a second later.
+// A failed send is ignored, as the assignment is repeated a second later.
 void RoleServices::send_assignment(const std::string& peer, const peers::RoleAssignment& message) {
     (void)connections_.peers.send_as_leader(peer, peers::encode(message));
 }
--- a/src/controller/role_services.h
+++ b/src/controller/role_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the roles need of the outside world, on this controller's clients and connections.
+/// Implements the external services of the roles with this controller's clients and connections.
 #pragma once
 #include <uv.h>
 
@@ -16,8 +16,8 @@
 
 namespace nickelramp::controller {
 
-/// Implements the interfaces of roles/role_services.h. Owned by Controller next to the RoleManager
-/// that uses it, on the loop's thread. Everything that the constructor is given must outlive it.
+/// Implements the interfaces of roles/role_services.h. Owned by Controller, like the RoleManager
+/// that uses it. Runs on the loop's thread. All constructor arguments must outlive it.
 class RoleServices : private roles::RoleStateStore,
                      private roles::RolePeerChannel,
                      private roles::RoleCloud,
@@ -32,12 +32,12 @@
     using LeaderLease = std::function<lease::Lease()>;
     using FenceChanged = std::function<void(lease::Role, std::uint64_t fence)>;
 
-    /// Only references are taken. `leader_guard` proves the leader's lease, under which
-    /// transactions are sent; the peer coordinator asks the same guard.
+    /// The constructor only stores references. `leader_guard` proves the leader's lease, under
+    /// which transactions are sent; the peer coordinator uses the same guard.
     RoleServices(Connections connections, const lease::LeaseGuard<lease::Scheduling>& leader_guard,
                  LeaderLease leader_lease, FenceChanged fence_changed);
 
-    /// For the RoleManager.
+    /// Returns the interfaces for the RoleManager.
     [[nodiscard]] roles::RoleServices services() { return {*this, *this, *this, *this}; }
 
   private:
--- a/src/controller/shard_holder_runner.h
+++ b/src/controller/shard_holder_runner.h
@@ -1,5 +1,5 @@
-/// \file
-/// The shard that this controller holds for the leader, with the gateway through which it acts.
+/// @file
+/// Runs the shard that the leader has leased to this controller.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,20 +13,20 @@
 
 namespace nickelramp::controller {
 
-/// Owns the ShardHolder, the guards that say until when it may act, and the timer that destroys
-/// ended control loops when none of their functions is on the stack. Runs on the loop's thread;
-/// used by Controller and PeerCoordinator.
+/// Owns the ShardHolder, its gateway, the lease guards that limit until when it may act, and the
+/// timer that destroys ended control loops when none of their functions is on the stack. Runs on
+/// the loop's thread; used by Controller and PeerCoordinator.
 class ShardHolderRunner {
   public:
-    /// `incarnation`: of this process, never 0. All references must outlive the runner.
+    /// All references must outlive the runner. `incarnation` identifies this process; never 0.
     ShardHolderRunner(const wire::Settings& settings, const LoopClock& clock,
                       LiveServiceGateway::Services services, std::uint64_t incarnation);
 
-    /// Begins or renews the lease of a shard.
+    /// Starts or renews the lease of a shard.
     void on_grant(const peers::ShardGrant& grant, const std::vector<wire::MachineType>& types);
-    /// Periodic work, once per tick of the controller.
+    /// Does the periodic work. Called once per tick of the controller.
     void tick();
-    /// Gives the shard up, if one is held. `reason` goes into the log.
+    /// Releases the shard, if one is held. `reason` is logged.
     void end(const std::string& reason);
 
     [[nodiscard]] control::ShardHolder& holder() { return holder_; }
--- a/src/controller/worker_connections.cpp
+++ b/src/controller/worker_connections.cpp
@@ -23,7 +23,7 @@
     std::string machine;
 };
 
-// The one that has been idle longest first.
+// Orders the connection that has been idle longest first.
 bool idle_longer(const IdleConnection& left, const IdleConnection& right) {
     return std::tie(left.used_at, left.machine) < std::tie(right.used_at, right.machine);
 }
@@ -55,7 +55,7 @@
             spdlog::error("worker address cannot be parsed: machine={} address={}", machine,
                           address);
             clients_.erase(machine);
-            return;  // the command stays in flight: nothing can be sent to the worker
+            return;  // the command stays in flight, as nothing can be sent to the worker
         }
         entry.client = std::make_unique<net::HttpClient>(loop_, *parsed, address,
                                                          kConnectionsPerWorker, kMaxQueuedCommands);
@@ -68,7 +68,8 @@
         std::move(may_send));
 }
 
-// Without this a leader of 1,300 machines has two sockets for each and none left for users.
+// Without pruning, a leader of 1,300 machines uses two sockets for each and has none left for
+// users.
 void WorkerConnections::prune(const std::function<bool(const std::string& machine)>& needed) {
     std::erase_if(clients_, [&needed](const auto& connection) {
         return connection.second.client->idle() && !needed(connection.first);
--- a/src/controller/worker_connections.h
+++ b/src/controller/worker_connections.h
@@ -1,5 +1,5 @@
-/// \file
-/// Connections from this controller to workers, for commands.
+/// @file
+/// Manages the connections on which this controller sends commands to workers.
 #pragma once
 #include <uv.h>
 
@@ -15,24 +15,24 @@
 
 namespace nickelramp::controller {
 
-/// One HTTP connection to each worker, opened when the first command is sent. Connections that
-/// exceed their share of the sockets are closed, those that have been idle longest first. Shared by
-/// the gateways of the leader and of the shard holder; runs on the loop's thread.
+/// Keeps one HTTP connection to each worker, opened when the first command is sent. If there are
+/// more than the maximum, those that have been idle longest are closed. Shared by the gateways of
+/// the leader and of the shard holder. Runs on the loop's thread.
 class WorkerConnections {
   public:
-    /// Called once per command with the loop's time, unless the connections are cleared before.
+    /// Called once per command with the loop's time, unless the connections are closed before.
     using Done = std::function<void(Millis, const cluster::CommandReply&)>;
-    /// `max_connections`: how many stay open between commands. The loop must outlive them.
+    /// Keeps up to `max_connections` open between commands. The loop must outlive this object.
     WorkerConnections(uv_loop_t* loop, std::size_t max_connections)
         : loop_(loop), max_connections_(max_connections) {}
 
-    /// Posts a command. `may_send` is asked as the bytes go out. A reply other than 200 or 409, or
-    /// none within two seconds, gives the delivery status `unknown`. If the address cannot be
-    /// parsed nothing is sent, and `done` is never called.
+    /// Sends a command as a POST request. `may_send` is called right before the bytes are sent. The
+    /// delivery status is `unknown` after a reply other than 200 or 409, or if none arrives within
+    /// two seconds. If the address cannot be parsed, nothing is sent and `done` is never called.
     void send_command(const std::string& machine, const std::string& address, std::string body,
                       Done done, net::HttpClient::MaySend may_send);
-    /// Closes idle connections to machines that are not needed any more, then those beyond the
-    /// maximum. Called every second while this controller leads.
+    /// Closes idle connections to machines that are no longer needed, then further idle ones until
+    /// the maximum is met. Called every second while this controller leads.
     void prune(const std::function<bool(const std::string& machine)>& needed);
     /// Closes all connections.
     void clear() { clients_.clear(); }
