--- a/src/controller/gauge_updater.h
+++ b/src/controller/gauge_updater.h
@@ -1,5 +1,5 @@
-/// \file
-/// Brings the gauges of the metrics page up to date.
+/// @file
+/// Updates the gauges of the metrics page.
 #pragma once
 #include "admin/metrics.h"
 #include "control/control_loop.h"
@@ -7,8 +7,8 @@
 
 namespace nickelramp::controller {
 
-/// Sets the heartbeat gauges and, where `leader` is not null, those of the cluster: jobs, tasks,
-/// attempts and machines by state. Called for each request of the metrics page, on the loop's
+/// Sets the heartbeat gauges and, if `leader` is not null, the cluster gauges: jobs, tasks,
+/// attempts and machines by state. Called for each request for the metrics page, on the loop's
 /// thread.
 void update_gauges(admin::Metrics& metrics, const HeartbeatHandler& heartbeats,
                    const control::ControlLoop* leader);
--- a/src/controller/instance_poller.cpp
+++ b/src/controller/instance_poller.cpp
@@ -23,7 +23,8 @@
     control_loop_ = nullptr;
 }
 
-// The timer is not stopped with the term: what it starts in a later term is one more list then.
+// The timer keeps running when the term ends. If it fires in a later term, the only effect is one
+// additional request.
 void InstancePoller::poll() {
     if (control_loop_ == nullptr) return;
     const std::uint64_t generation = generation_;
@@ -41,7 +42,7 @@
 Millis InstancePoller::interval_after(std::size_t instances) const {
     constexpr Millis kMinInterval = 4'000;
     constexpr double kInstancesPerPage = 500;
-    constexpr double kShareOfRequests = 0.25;  // provisioning needs the rest
+    constexpr double kShareOfRequests = 0.25;  // the rest is left to provisioning
     const double pages = std::ceil(static_cast<double>(instances) / kInstancesPerPage);
     return std::max({kMinInterval, seconds(settings_.cloud_list_lag_s),
                      seconds(pages / (kShareOfRequests * settings_.cloud_requests_per_s))});
--- a/src/controller/instance_poller.h
+++ b/src/controller/instance_poller.h
@@ -1,5 +1,5 @@
-/// \file
-/// Lists the cloud's instances for the leader, again and again while its term runs.
+/// @file
+/// Polls the cloud's list of instances for the leader while its term runs.
 #pragma once
 #include <cstdint>
 
@@ -11,18 +11,18 @@
 
 namespace nickelramp::controller {
 
-/// Hands each complete list of instances to the control loop of the running term. The interval
-/// grows with the number of instances, so that lists leave most of the cloud's request budget to
-/// provisioning. A failed list is repeated after the shortest interval. Lists that are answered
-/// after `stop` are dropped. Runs on the loop's thread.
+/// Passes each complete list of instances to the control loop of the running term. The interval
+/// grows with the number of instances, so that most of the cloud's request budget is left to
+/// provisioning. A failed request is retried after the shortest interval. Replies that arrive after
+/// `stop` are dropped. Runs on the loop's thread.
 class InstancePoller {
   public:
     InstancePoller(const wire::Settings& settings, const LoopClock& clock,
                    cloud::CloudClient& cloud_client);
 
-    /// Begins to poll at once. `control_loop` must live until `stop`.
+    /// Starts polling at once. `control_loop` must live until `stop`.
     void start(control::ControlLoop& control_loop);
-    /// Called when the term ends, before its control loop is destroyed.
+    /// Stops polling. Called when the term ends, before its control loop is destroyed.
     void stop();
 
   private:
@@ -33,8 +33,8 @@
     const LoopClock& clock_;
     cloud::CloudClient& cloud_client_;
     net::Timer timer_;
-    control::ControlLoop* control_loop_ = nullptr;  // null: stopped
-    std::uint64_t generation_ = 0;  // of starts; late replies of earlier ones are dropped
+    control::ControlLoop* control_loop_ = nullptr;  // null if stopped
+    std::uint64_t generation_ = 0;  // incremented by start and stop to drop late replies
 };
 
 }  // namespace nickelramp::controller
--- a/src/controller/loop_clock.h
+++ b/src/controller/loop_clock.h
@@ -1,6 +1,6 @@
-/// \file
-/// The clocks of one controller process: the libuv loop's time, the steady clock and the wall
-/// clock.
+/// @file
+/// Gives access to the clocks of one controller process: the libuv loop's time, the steady clock
+/// and the wall clock.
 #pragma once
 #include <uv.h>
 
@@ -10,32 +10,32 @@
 
 namespace nickelramp::controller {
 
-/// Reads the time for the parts of the controller that own sockets or timers. Everything else is
-/// handed the time as an argument. Used on the loop's thread only; the loop must outlive it.
+/// Reads the time for the components that own sockets or timers. All other code receives the time
+/// as an argument. Used on the loop's thread only; the loop must outlive it.
 class LoopClock {
   public:
     explicit LoopClock(uv_loop_t* loop) : loop_(loop) {}
 
     [[nodiscard]] uv_loop_t* loop() const { return loop_; }
 
-    /// The loop's cached time in milliseconds: that of the current loop iteration.
+    /// Returns the loop's cached time, which is updated once per loop iteration.
     [[nodiscard]] Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
 
-    /// Updates the loop's cached time first, for decisions that must not use a time from before
-    /// the process was suspended.
+    /// Updates the loop's cached time and returns it. For decisions that must not use a time from
+    /// before the process was suspended.
     [[nodiscard]] Millis updated_now() const {
         uv_update_time(loop_);
         return now();
     }
 
-    /// The steady clock in milliseconds, read at the call. Lease checks use it: the loop's cached
-    /// time may be from before the process was suspended.
+    /// Reads the steady clock. Lease checks use it because the loop's cached time may be from
+    /// before the process was suspended.
     [[nodiscard]] static Millis steady_now() {
         constexpr std::uint64_t kNanosecondsPerMillisecond = 1'000'000;
         return static_cast<Millis>(uv_hrtime() / kNanosecondsPerMillisecond);
     }
 
-    /// Milliseconds since the Unix epoch, for records that other controllers read.
+    /// Returns the milliseconds since the Unix epoch, for records that other controllers read.
     [[nodiscard]] static std::int64_t wall_ms() {
         uv_timeval64_t time{};
         uv_gettimeofday(&time);
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -1,7 +1,7 @@
-// The program `nickelramp`: reads the command line and the settings, and runs one controller.
+// Entry point of `nickelramp`. Reads the command line and the settings, and runs one controller.
 //
-// Exit status: 0 after --help, --version and --check, 1 if the addresses cannot be listened on,
-// 2 for bad input.
+// Exit status: 0 after --help, --version and --check; 1 if listening on an address fails; 2 for
+// invalid input.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <uv.h>
@@ -33,7 +33,7 @@
     FeatureFlags features;
 };
 
-// Either a command line to run or the exit status.
+// Holds either a command line to run or the exit status of the program.
 struct ParsedCommandLine {
     std::optional<CommandLine> command_line;
     int exit_status = 0;
@@ -54,7 +54,7 @@
     return {command_line, 0};
 }
 
-// False for an unknown level in LOG_LEVEL.
+// Returns false if LOG_LEVEL holds an unknown level.
 bool set_up_log() {
     auto logger = spdlog::stderr_logger_st("nickelramp");
     logger->set_pattern("%L %v");
@@ -73,7 +73,7 @@
     return true;
 }
 
-// Nothing if the file cannot be read or is wrong; the reason is printed then.
+// Prints the reason and returns nothing if the file cannot be read or is invalid.
 std::optional<Settings> read_settings(const std::string& path) {
     const std::ifstream file(path);
     if (!file) {
--- a/src/controller/rate_limits.h
+++ b/src/controller/rate_limits.h
@@ -1,14 +1,15 @@
-/// \file
-/// How one controller shares the request budget of the key-value store with the others.
+/// @file
+/// Divides the request budget of the key-value store among the controllers.
 #pragma once
 #include "kvstore/client.h"
 #include "wire/settings.h"
 
 namespace nickelramp::controller {
 
-/// The share of the budget that this controller may use. The budget is one for all controllers and
-/// their needs differ by the moment: each may use half of the requests, the leader, which writes
-/// for everybody, most of the writes. A 429 slows any of them down further.
+/// Returns the share of the budget that this controller may use. All controllers share one budget,
+/// but their needs vary over time, so the shares may add up to more than the budget. Each
+/// controller may use half of the requests. The leader, which writes on behalf of all, may use most
+/// of the writes. A reply with status 429 slows a controller down further.
 [[nodiscard]] inline kvstore::RateLimits store_rate_limits(const wire::Settings& settings,
                                                            bool leads) {
     constexpr double kRequestShare = 0.5;
--- a/src/controller/readiness_monitor.h
+++ b/src/controller/readiness_monitor.h
@@ -1,5 +1,5 @@
-/// \file
-/// Gathers what the readiness of this controller follows from.
+/// @file
+/// Collects the inputs that determine the readiness of this controller.
 #pragma once
 #include <map>
 #include <string>
@@ -13,9 +13,9 @@
 
 namespace nickelramp::controller {
 
-/// Keeps the last status of every peer and evaluates the readiness from it, from the health of the
-/// key-value store and from the requests that wait. Runs on the loop's thread; updated by the
-/// controller's tick and by each health check.
+/// Keeps the last status of every peer and determines the readiness from it, the machine types, the
+/// health of the key-value store and the pending requests. Runs on the loop's thread; updated by
+/// the controller's tick and by each health check.
 class ReadinessMonitor {
   public:
     ReadinessMonitor(const wire::Settings& settings, const LoopClock& clock,
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -35,7 +35,8 @@
 }
 
 void RequestRouter::handle_health_check(const net::Responder& responder) {
-    // A request may have waited while the process was suspended: its time proves nothing now.
+    // The request may have waited while the process was suspended, in which case the cached time is
+    // outdated.
     uv_update_time(handlers_.clock.loop());
     handlers_.readiness.update();
     handlers_.store_client.ping();
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -1,5 +1,5 @@
-/// \file
-/// Hands each HTTP request of workers, users, operators and health checks to its handler.
+/// @file
+/// Passes each HTTP request of workers, users, operators and health checks to its handler.
 #pragma once
 #include "admin/request_handler.h"
 #include "api/job_request_handler.h"
@@ -12,12 +12,13 @@
 
 namespace nickelramp::controller {
 
-/// Routes by path: `/checkin` are heartbeats, `/ready` health checks, `/admin/plans` drain plans if
-/// they are enabled, everything else users' and operators' requests. What no handler takes is
-/// answered with 404. Called by the HTTP server on the loop's thread.
+/// Routes requests by path: `/checkin` for heartbeats, `/ready` for health checks, `/admin/plans`
+/// for drain plans if they are enabled, and all other paths for requests of users and operators.
+/// The reply is 404 if no handler accepts the request. Called by the HTTP server on the loop's
+/// thread.
 class RequestRouter {
   public:
-    /// The handlers; all must outlive the router.
+    /// The handlers and what they need. All must outlive the router.
     struct Dependencies {
         const LoopClock& clock;
         kvstore::Client& store_client;
@@ -31,7 +32,7 @@
 
     explicit RequestRouter(const Dependencies& dependencies) : handlers_(dependencies) {}
 
-    /// Answers the request, now or later.
+    /// Replies to the request, at once or later.
     void handle(const net::Request& request, const net::Responder& responder);
 
   private:
