--- a/tests/controller_parts_test.cpp
+++ b/tests/controller_parts_test.cpp
@@ -1,4 +1,4 @@
-// Parts of the controller that read the key-value store, against its emulator on loopback.
+// Tests the controller's components that read the key-value store against an emulator on loopback.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -24,7 +24,7 @@
 
 constexpr int kStorePort = 39360;
 constexpr const char* kStoreAddress = "127.0.0.1:39360";
-constexpr const char* kNoCloudAddress = "127.0.0.1:39361";
+constexpr const char* kUnreachableCloudAddress = "127.0.0.1:39361";
 
 struct ControllerPartsOnLoopback : testing::Test {
     ControllerPartsOnLoopback() {
@@ -41,7 +41,7 @@
         uv_loop_close(&loop);
     }
     bool until(const std::function<bool()>& condition) { return test::run_until(&loop, condition); }
-    // No value: deletes the key.
+    // Writes the value, or deletes the key if there is no value.
     void write(const std::string& key, std::optional<Json> value) {
         kvstore::Transaction transaction;
         transaction.writes = {{key, std::move(value), 0}};
@@ -79,7 +79,7 @@
     OpenJobWatcher watcher(clock, *client, listener);
     watcher.start(0);
     write("open/job-1", Json{{"a", 1}});
-    write("run/job-1/0", Json{{"a", 1}});  // of no interest
+    write("run/job-1/0", Json{{"a", 1}});  // outside the watched prefix
     ASSERT_TRUE(until([&] { return listener.changes.size() == 1; }));
     EXPECT_EQ(listener.changes[0].key, "open/job-1");
     EXPECT_GE(listener.known_until, 0);
@@ -105,11 +105,13 @@
     void on_machine_types(const std::vector<wire::MachineType>&) override {}
 };
 
-// The term waits for the machine types; an outage only delays it; each record is read once.
+// Records must not be loaded before the machine types are known. An outage of the store must only
+// delay the load, and no record may be loaded twice.
 TEST_F(ControllerPartsOnLoopback, TermLoaderWaitsForMachineTypesAndRetriesAfterAnOutage) {
-    cloud::CloudClient no_cloud(&loop, *net::parse_address(kNoCloudAddress), "cloud", 10);
+    cloud::CloudClient unreachable_cloud(&loop, *net::parse_address(kUnreachableCloudAddress),
+                                         "cloud", 10);
     FollowerTypeListener types_listener;
-    MachineTypeStore types(&loop, *client, no_cloud, types_listener);
+    MachineTypeStore types(&loop, *client, unreachable_cloud, types_listener);
     RecordingTermListener listener;
     TermLoader loader(clock, *client, types, listener);
     for (const char* key : {"open/job-1", "open/job-2", "run/job-1/0", "block/0"})
