--- a/tests/simulated_machine.h
+++ b/tests/simulated_machine.h
@@ -1,4 +1,5 @@
-// A machine of the simulated cluster, its worker and its tasks.
+/// @file
+/// A machine of the simulated cluster, its worker and its tasks.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -11,32 +12,33 @@
 
 namespace nickelramp::test {
 
-/// A task of a job, by its index.
+/// Identifies a task by its job and its index in the job.
 struct TaskId {
     std::string job;
     std::uint32_t task = 0;
     auto operator<=>(const TaskId&) const = default;
 };
 
-/// One attempt to run a task.
+/// Identifies one attempt to run a task.
 struct AttemptId {
     TaskId task;
     std::uint32_t attempt = 0;
     auto operator<=>(const AttemptId&) const = default;
 };
 
-/// A task as its worker runs it.
+/// The state of a task on the worker that runs it.
 struct SimulatedTask {
     std::uint32_t attempt = 0;
     wire::TaskPhase phase = wire::TaskPhase::fetching;
-    wire::ExitCause cause = wire::ExitCause::none;  ///< set once it has exited
-    Millis fetched_at = 0;                          ///< its image is there
-    Millis done_at = 0;                             ///< it has completed, or has saved its state
-    Millis gathers_until = 0;                       ///< it gives up waiting for its gang
-    std::uint64_t term = 0;                         ///< of the leader that started it
+    wire::ExitCause cause = wire::ExitCause::none;  ///< set when the task has exited
+    Millis fetched_at = 0;                          ///< when its image has been fetched
+    Millis done_at = 0;                             ///< when it completes, or has saved its state
+    Millis gang_wait_until = 0;                     ///< when it stops waiting for its gang
+    std::uint64_t term = 0;                         ///< the term of the leader that started it
 
     [[nodiscard]] bool exited() const { return phase == wire::TaskPhase::exited; }
-    /// It uses resources of its machine, and it would be wrong to run it elsewhere too.
+    /// Returns whether the task uses resources of its machine. Such a task must not run on another
+    /// machine at the same time.
     [[nodiscard]] bool occupies_machine() const {
         return phase != wire::TaskPhase::fetching && !exited();
     }
@@ -50,31 +52,31 @@
 struct SimulatedMachine {
     std::string name, type, zone;
     bool spot = false;
-    bool up = false;       ///< it has booted
-    bool dead = false;     ///< it has stopped, and the cloud may not know it
-    bool removed = false;  ///< the cloud has taken it back
-    bool failed = false;   ///< it has stopped, and the cloud lists it as failed
-    bool faulty = false;   ///< every task on it fails
+    bool up = false;       ///< has booted
+    bool dead = false;     ///< has stopped; the cloud may still list it as running
+    bool removed = false;  ///< was released, or preempted by the cloud
+    bool failed = false;   ///< the cloud lists it as failed
+    bool faulty = false;   ///< makes every task on it fail
     Millis provisioned_at = 0, up_at = kNever, removed_at = kNever;
 
     // The worker.
     std::uint64_t incarnation = 1, sequence = 0, token = 0;
-    std::size_t process_generation = 0;  ///< grows with every restart of the worker
-    Millis lease_from = 0;               ///< the heartbeat of the last reply was sent then
+    std::size_t process_generation = 0;  ///< incremented by every restart of the worker
+    Millis lease_from = 0;               ///< when the last answered heartbeat was sent
     std::map<TaskId, SimulatedTask> tasks;
-    std::set<std::string> images;     ///< in its cache
-    std::set<AttemptId> seen_starts;  ///< attempts it has started, until told to forget them
-    wire::Heartbeat first, last;      ///< that it has sent
+    std::set<std::string> images;     ///< in the worker's cache
+    std::set<AttemptId> seen_starts;  ///< attempts started and not yet forgotten
+    wire::Heartbeat first, last;      ///< the first and the last heartbeat sent
 
-    // Its connection to a controller, or to a forwarder.
-    std::size_t target = 0;                ///< the controller it reports to
-    bool last_heartbeat_answered = false;  ///< its last heartbeat to it was answered with 200
-    bool unanswered = false;               ///< its last heartbeat has no reply yet
-    std::size_t forwarder = 0;             ///< the forwarder it reports to
-    std::uint64_t answered_term = 0;  ///< of the reply 200 to its last heartbeat to it; 0: none
+    // The worker's connection to a controller or a forwarder.
+    std::size_t target = 0;                ///< the controller that it sends heartbeats to
+    bool last_heartbeat_answered = false;  ///< the last heartbeat to `target` was answered with 200
+    bool unanswered = false;               ///< the last heartbeat has no reply yet
+    std::size_t forwarder = 0;             ///< the forwarder that it sends heartbeats to
+    std::uint64_t answered_term = 0;  ///< term that answered the last forwarded heartbeat; 0: none
 
     // Faults.
-    bool named_in_rental_reply = false;  ///< a controller knows it from the cloud's reply
+    bool named_in_rental_reply = false;  ///< a provisioning reply has named it
     Millis inbound_blocked_until = 0, commands_blocked_until = 0, heartbeats_blocked_until = 0;
 
     [[nodiscard]] bool exists() const { return !removed && !dead; }
--- a/tests/simulated_network.cpp
+++ b/tests/simulated_network.cpp
@@ -7,7 +7,7 @@
 const Partition* SimulatedNetwork::partition_of(const SimulatedMachine& machine) const {
     for (const Partition& partition : partitions_) {
         if (!partition.active(context_.now()) || machine.zone != partition.zone) continue;
-        // By a hash of the name, so that it concerns the same machines for as long as it lasts.
+        // A hash of the name selects the same machines throughout the partition.
         const std::size_t hash = std::hash<std::string>{}(machine.name + partition.zone);
         if (hash % 1000 < partition.share * 1000) return &partition;
     }
--- a/tests/simulated_network.h
+++ b/tests/simulated_network.h
@@ -1,4 +1,5 @@
-// Partitions between the zones of a simulation.
+/// @file
+/// Network partitions between the zones of a simulation.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,19 +9,20 @@
 
 namespace nickelramp::test {
 
-/// Who reaches whom. Controllers are numbered; where there are shard holders, they are 0 and 1, in
-/// the zones "a" and "b". All other controllers are in zone "a", and no partition cuts them off.
+/// Decides which machines and controllers can reach each other. Controllers are numbered. Shard
+/// holders, if any, are controllers 0 and 1 in zones "a" and "b". All other controllers are in zone
+/// "a" and are never inside a partition.
 class SimulatedNetwork {
   public:
     SimulatedNetwork(const SimulationContext& context, bool has_shard_holders)
         : context_(context), has_shard_holders_(has_shard_holders) {}
 
     void add(const Partition& partition) { partitions_.push_back(partition); }
-    /// The partition that the machine is inside of, or null.
+    /// Returns the active partition that contains the machine, or null.
     [[nodiscard]] const Partition* partition_of(const SimulatedMachine& machine) const;
-    /// The shard holder is inside a partition, cut off from all other controllers.
+    /// Returns whether the shard holder is inside a partition and cannot reach other controllers.
     [[nodiscard]] bool holder_partitioned(std::size_t holder) const;
-    /// Heartbeats of the machine arrive at the controller.
+    /// Returns whether heartbeats of the machine reach the controller.
     [[nodiscard]] bool can_reach(const SimulatedMachine& machine, std::size_t controller) const;
 
   private:
--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr Millis kCachedFetch = 50, kShortestFetch = 2'000, kFetchSpread = 3'000;
+constexpr Millis kCachedFetch = 50, kMinFetch = 2'000, kFetchSpread = 3'000;
 constexpr double kLargeImageGb = 5;
 constexpr Millis kSaveDuration = 2'000;
-constexpr double kLeastSaveGrace_s = 2;
-constexpr Millis kShortestTask = 3'000, kTaskSpread = 9'000;
+constexpr double kMinSaveGrace_s = 2;
+constexpr Millis kMinTaskDuration = 3'000, kTaskSpread = 9'000;
 constexpr double kEpsilon = 1e-6;
 
 const char* phase_name(TaskPhase phase) {
@@ -98,10 +98,10 @@
         return;
     SimulatedTask& task = it->second;
     ++stopped_tasks_;
-    if (task.phase == TaskPhase::running && command.grace_s >= kLeastSaveGrace_s) {
+    if (task.phase == TaskPhase::running && command.grace_s >= kMinSaveGrace_s) {
         task.phase = TaskPhase::saving;
         task.done_at = context_.now() + kSaveDuration;
-    } else if (task.phase != TaskPhase::saving || command.grace_s < kLeastSaveGrace_s) {
+    } else if (task.phase != TaskPhase::saving || command.grace_s < kMinSaveGrace_s) {
         task.exit(ExitCause::stopped);
     }
 }
@@ -112,7 +112,7 @@
     if (!observer_.on_start_command(command)) return;
     const auto before = machine.tasks.find(id);
     if (before != machine.tasks.end() && !before->second.exited()) {
-        ADD_FAILURE() << "two attempts of " << command.job << "/" << command.task
+        ADD_FAILURE() << "start of a second attempt of " << command.job << "/" << command.task
                       << " on one machine";
     }
     const wire::JobSpec& spec = jobs_.spec(command.job);
@@ -121,7 +121,7 @@
     task.term = shards::term_of(machine.token);
     task.fetched_at = context_.now() + fetch_duration(machine, spec);
     if (spec.gpus > free_gpus(machine) + kEpsilon) {
-        ADD_FAILURE() << "a start that does not fit";
+        ADD_FAILURE() << "started task does not fit the machine's free GPUs";
         task.exit(ExitCause::no_room);
     }
     machine.tasks[id] = task;
@@ -130,9 +130,9 @@
 Millis SimulatedWorkers::fetch_duration(const SimulatedMachine& machine,
                                         const wire::JobSpec& spec) {
     if (machine.images.count(spec.image) != 0) return kCachedFetch;
-    const Millis usual = kShortestFetch + context_.delay(kFetchSpread);
+    const Millis usual = kMinFetch + context_.delay(kFetchSpread);
     if (spec.image_gb <= kLargeImageGb) return usual;
-    // 1 s for 1 GB, a quarter more or less.
+    // 0.75 to 1.25 s per GB.
     return seconds(spec.image_gb * 0.75) + context_.delay(seconds(spec.image_gb * 0.5));
 }
 
@@ -166,7 +166,7 @@
                                     SimulatedTask& task) {
     if (task.phase == TaskPhase::fetching && context_.now() >= task.fetched_at)
         begin_task(machine, id, task);
-    if (task.phase == TaskPhase::waiting) gather_gang(id, task);
+    if (task.phase == TaskPhase::waiting) advance_waiting(id, task);
     if (task.phase == TaskPhase::saving && context_.now() >= task.done_at)
         task.exit(ExitCause::stopped);
     if (task.phase == TaskPhase::running) advance_running(id, task);
@@ -178,19 +178,19 @@
     machine.images.insert(spec.image);
     if (jobs_.completed(id)) return task.exit(ExitCause::done);
     task.phase = spec.shape == wire::Shape::gang ? TaskPhase::waiting : TaskPhase::running;
-    task.gathers_until = context_.now() + seconds(settings_.gang_wait_s);
-    task.done_at = context_.now() + kShortestTask + context_.delay(kTaskSpread);
+    task.gang_wait_until = context_.now() + seconds(settings_.gang_wait_s);
+    task.done_at = context_.now() + kMinTaskDuration + context_.delay(kTaskSpread);
     if (const auto duration = jobs_.task_duration(id.job))
         task.done_at = context_.now() + *duration;
     observer_.on_task_begun(machine, id);
     if (machine.faulty || jobs_.fails(id.job)) task.exit(ExitCause::error);
 }
 
-void SimulatedWorkers::gather_gang(const TaskId& id, SimulatedTask& task) {
-    if (jobs_.completed(id)) return task.exit(ExitCause::done);  // gangs complete together
+void SimulatedWorkers::advance_waiting(const TaskId& id, SimulatedTask& task) {
+    if (jobs_.completed(id)) return task.exit(ExitCause::done);  // a gang completes as a whole
     if (gang_members(id.job, task.attempt) == jobs_.spec(id.job).tasks)
         task.phase = TaskPhase::running;
-    else if (context_.now() >= task.gathers_until)
+    else if (context_.now() >= task.gang_wait_until)
         task.exit(ExitCause::alone);
 }
 
--- a/tests/simulated_workers.h
+++ b/tests/simulated_workers.h
@@ -1,4 +1,5 @@
-// The machines of a simulation with their workers and tasks.
+/// @file
+/// The machines of a simulation with their workers and tasks.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,16 +15,18 @@
 
 namespace nickelramp::test {
 
-/// What truly runs where. Workers execute commands, run their tasks and lose their leases as the
-/// protocol says; a task's life is a few dates, to which advance() brings it up. Asserts that
-/// commands are sound: no second attempt beside a running one, nothing that does not fit.
+/// The actual state of all machines and tasks. Workers execute commands, run tasks and lose their
+/// leases as the protocol specifies. A task stores the times of its phase changes, and
+/// advance() applies those that have passed. Asserts that no command starts a second attempt of a
+/// task on the same machine, or a task that does not fit.
 class SimulatedWorkers {
   public:
-    /// What the rules of the simulation are checked by.
+    /// Callbacks that check the rules of the simulation.
     struct Observer {
-        /// A start of a new attempt is being executed; false: it is wrong, and not executed.
+        /// Called before a new attempt is started. The command is not executed if this returns
+        /// false.
         std::function<bool(const wire::Command&)> on_start_command;
-        /// A task occupies its machine from now on.
+        /// Called when a task begins to occupy its machine.
         std::function<void(const SimulatedMachine&, const TaskId&)> on_task_begun;
     };
     SimulatedWorkers(SimulationContext& context, const wire::Settings& settings,
@@ -33,37 +36,37 @@
     using Machines = std::map<std::string, std::unique_ptr<SimulatedMachine>>;
     [[nodiscard]] const Machines& all() const { return machines_; }
     [[nodiscard]] SimulatedMachine& machine(const std::string& name) { return *machines_.at(name); }
-    /// Null if there never was one.
+    /// Returns null if no machine of this name was ever added.
     [[nodiscard]] SimulatedMachine* find(const std::string& name);
     SimulatedMachine& add(const std::string& name);
     [[nodiscard]] const wire::MachineType& type_of(const SimulatedMachine& machine) const;
 
-    /// Brings the machine's tasks and its lease up to the present.
+    /// Updates the machine's tasks and its lease to the current time.
     void advance(SimulatedMachine& machine);
     void execute(SimulatedMachine& machine, const std::vector<wire::Command>& commands);
-    /// The worker's next heartbeat.
+    /// Creates the worker's next heartbeat.
     wire::Heartbeat make_heartbeat(SimulatedMachine& machine);
-    /// The worker begins again with nothing on it. False if there is no worker.
+    /// Restarts the worker without tasks. Returns false if the machine is not running.
     bool restart(SimulatedMachine& machine);
-    /// The machine stops without notice.
+    /// Stops the machine without notice to the cloud or the controllers.
     void kill(SimulatedMachine& machine);
-    /// The cloud takes away all machines of the zone.
+    /// Removes all machines of the zone, as when the cloud preempts them.
     void preempt_zone(const std::string& zone);
-    /// No machine fails its tasks any more.
+    /// Makes faulty machines work correctly from now on.
     void repair_faulty();
 
-    /// Machines that are up and have tasks, by name.
+    /// Returns the names of the running machines that have tasks.
     [[nodiscard]] std::vector<std::string> working_machines() const;
     [[nodiscard]] std::size_t running_tasks(const std::string& zone) const;
-    /// Tasks of the job that occupy a machine.
+    /// Returns how many tasks of the job occupy a machine.
     [[nodiscard]] std::size_t tasks_of(const std::string& job) const;
-    /// By tasks that have not exited.
+    /// Returns the GPUs used by the team's tasks that have not exited.
     [[nodiscard]] double gpus_used_by(const std::string& team) const;
     [[nodiscard]] std::string describe() const;
 
-    /// Tasks that a stop command ended.
+    /// Returns how often a stop command reached a task that had not exited.
     [[nodiscard]] std::size_t stopped_tasks() const { return stopped_tasks_; }
-    /// Tasks that ended because their worker's lease did.
+    /// Returns how many tasks ended because their worker's lease expired.
     [[nodiscard]] std::size_t tasks_killed_by_lease() const { return tasks_killed_by_lease_; }
 
   private:
@@ -75,9 +78,9 @@
     void lose_lease(SimulatedMachine& machine);
     void advance_task(SimulatedMachine& machine, const TaskId& id, SimulatedTask& task);
     void begin_task(SimulatedMachine& machine, const TaskId& id, SimulatedTask& task);
-    void gather_gang(const TaskId& id, SimulatedTask& task);
+    void advance_waiting(const TaskId& id, SimulatedTask& task);
     void advance_running(const TaskId& id, SimulatedTask& task);
-    /// Tasks of the attempt that wait for their gang or run, this one among them.
+    /// Returns how many tasks of the gang's attempt are waiting or running.
     [[nodiscard]] std::size_t gang_members(const std::string& job, std::uint32_t attempt) const;
 
     SimulationContext& context_;
