--- a/tests/simulated_cloud.cpp
+++ b/tests/simulated_cloud.cpp
@@ -7,7 +7,7 @@
 namespace nickelramp::test {
 
 namespace {
-constexpr std::size_t kMostMachines = 400;
+constexpr std::size_t kMaxMachines = 400;
 constexpr std::size_t kFirstMachineNumber = 100'000;
 }  // namespace
 
@@ -18,13 +18,13 @@
         const ProvisionRequest& first = known->second.request;
         EXPECT_EQ(std::tie(first.type, first.zone, first.spot, first.count),
                   std::tie(request.type, request.zone, request.spot, request.count))
-            << "the name " << request.name << " was used for something else";
+            << "request name " << request.name << " was reused for a different request";
         reply.machines = known->second.machines;
         return reply;
     }
     if (request.zone == context_.faults.exhausted_zone ||
         context_.chance(context_.faults.refused_provisioning) ||
-        workers_.all().size() > kMostMachines) {
+        workers_.all().size() > kMaxMachines) {
         reply.result = cloud::ProvisionReply::Result::no_capacity;
         return reply;
     }
--- a/tests/simulated_cloud.h
+++ b/tests/simulated_cloud.h
@@ -1,4 +1,5 @@
-// The cloud of a simulation.
+/// @file
+/// A simulated cloud provider for ClusterSimulation.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,33 +11,36 @@
 
 namespace nickelramp::test {
 
-/// What a controller asks the cloud for.
+/// A controller's request to provision machines.
 struct ProvisionRequest {
-    std::string name;  ///< the same name always gets the same machines
+    std::string name;  ///< idempotency key: the same name always returns the same machines
     std::string type, zone;
     bool spot = false;
     std::uint32_t count = 0;
 };
 
-/// Provisions, releases and lists machines. Asserts that a request's name stands for one request,
-/// and that no leader releases a machine with tasks of a later leader. Delays and lost replies are
-/// up to the caller.
+/// Provisions, releases and lists machines. Asserts that a name is never reused for a different
+/// request, and that no leader releases a machine that has tasks of a later leader. The caller
+/// simulates delays and lost replies.
 class SimulatedCloud {
   public:
-    /// `on_booted` is called with the name of each machine that has booted.
+    /// @param on_booted called with the name of each machine when it has booted
     SimulatedCloud(SimulationContext& context, SimulatedWorkers& workers,
                    std::function<void(const std::string& machine)> on_booted)
         : context_(context), workers_(workers), on_booted_(std::move(on_booted)) {}
 
     cloud::ProvisionReply provision(const ProvisionRequest& request);
-    /// `term`: of the controller that asks.
+    /// Removes the machines and their tasks.
+    /// @param term the term of the controller that releases them
     void release(const std::vector<std::string>& names, std::uint64_t term);
-    /// As old as the fault cloud_list_lag says: new machines may be missing, released ones listed.
+    /// Returns the machines as of some time ago (see Faults::cloud_list_lag). New machines may be
+    /// missing, and released ones may still be listed.
     [[nodiscard]] std::vector<wire::CloudInstance> list() const;
-    /// Counts how the present list differs from the truth.
+    /// Records in the coverage counters how the present list differs from the actual machines.
     void count_list_errors();
 
-    /// Machines that controllers have released, of one zone or, with "", of all.
+    /// Returns the number of machines that controllers have released in the zone, or in all zones
+    /// if `zone` is empty.
     [[nodiscard]] std::size_t released_machines(const std::string& zone) const;
     [[nodiscard]] std::size_t provisioned_machines() const { return provisioned_machines_; }
 
--- a/tests/simulated_key_value_store.cpp
+++ b/tests/simulated_key_value_store.cpp
@@ -10,7 +10,7 @@
 namespace nickelramp::test {
 
 namespace {
-constexpr std::size_t kMostValueBytes = 8 * 1024;
+constexpr std::size_t kMaxValueBytes = 8 * 1024;
 }  // namespace
 
 const char* commit_kind(const kvstore::Transaction& transaction) {
@@ -67,7 +67,7 @@
             observer_.after_delete(write.key);
             continue;
         }
-        EXPECT_LE(write.value->dump().size(), kMostValueBytes);
+        EXPECT_LE(write.value->dump().size(), kMaxValueBytes);
         observer_.before_write(write.key, *write.value);
         keys_[write.key] = {*write.value, revision_};
     }
--- a/tests/simulated_key_value_store.h
+++ b/tests/simulated_key_value_store.h
@@ -1,4 +1,5 @@
-// The key-value store of a simulation.
+/// @file
+/// The simulated key-value store of ClusterSimulation.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,21 +11,19 @@
 
 namespace nickelramp::test {
 
-/// The kind of a transaction that a leader or shard holder commits, as
-/// docs/design/combined-faults.md lists them: "end", "block", "intent", "checkpoint" or "left
-/// over".
+/// Returns the kind of a transaction that a leader or shard holder commits: "end", "block",
+/// "intent", "checkpoint" or "left over" (see docs/design/combined-faults.md).
 const char* commit_kind(const kvstore::Transaction& transaction);
 
-/// Versioned keys with compare-and-swap transactions, a limit of writes, and outages. Asserts with
-/// every transaction that it keeps to the sizes of the settings. Delays and lost replies are up to
-/// the caller.
+/// Versioned keys with compare-and-swap transactions, a write rate limit, and outages. Asserts that
+/// every transaction stays within the size limits. The caller simulates delays and lost replies.
 class SimulatedKeyValueStore {
   public:
     struct StoredValue {
         kvstore::Json value;
         std::uint64_t version = 0;
     };
-    /// What else happens when a transaction is applied.
+    /// Callbacks for the writes and deletions of an applied transaction.
     struct Observer {
         std::function<void(const std::string& key, const kvstore::Json& value)> before_write;
         std::function<void(const std::string& key)> after_delete;
@@ -34,31 +33,32 @@
         : context_(context), settings_(settings), observer_(std::move(observer)) {}
 
     [[nodiscard]] bool up() const { return context_.now() >= down_until_; }
-    /// Nobody is answered for that long; an outage under way is not shortened.
+    /// Makes the store unavailable for the given time. Never shortens a current outage.
     void take_down(Millis length);
 
-    /// Takes so many writes from the rate limit; false if there is no room for them.
+    /// Takes the writes from the rate limit's budget. Returns false if the budget is too small.
     bool take_write_budget(std::size_t writes);
-    /// Writes so far, without those that the rate limit refused.
+    /// Returns the number of writes so far, excluding those that the rate limit refused.
     [[nodiscard]] std::size_t writes() const { return writes_; }
 
-    /// Writes one key without conditions.
+    /// Writes one key unconditionally.
     void put(const std::string& key, const kvstore::Json& value);
-    /// Applies all writes if every condition holds.
+    /// Applies all writes if every condition holds, and none otherwise.
     kvstore::CommitReply commit(const kvstore::Transaction& transaction);
 
     [[nodiscard]] std::uint64_t revision() const { return revision_; }
-    /// Null if there is no such key.
+    /// Returns null if there is no such key.
     [[nodiscard]] const StoredValue* find(const std::string& key) const;
-    /// 0 if there is no such key.
+    /// Returns the key's version, or 0 if there is no such key.
     [[nodiscard]] std::uint64_t version(const std::string& key) const;
     [[nodiscard]] const std::map<std::string, StoredValue>& keys() const { return keys_; }
     [[nodiscard]] kvstore::ListReply list(const std::string& prefix) const;
+    /// Returns the records of all open jobs.
     [[nodiscard]] kvstore::ListReply open_records() const;
     [[nodiscard]] std::size_t count(const std::string& prefix) const;
-    /// Provisioning intents on record.
+    /// Returns the number of recorded provisioning intents.
     [[nodiscard]] std::size_t intents() const;
-    /// "", "done" or "withdrawn".
+    /// Returns the job's final state, "done" or "withdrawn", or "" if it has none.
     [[nodiscard]] std::string final_state(const std::string& job) const;
 
   private:
