--- a/tests/simulated_jobs.h
+++ b/tests/simulated_jobs.h
@@ -1,4 +1,5 @@
-// What is true of the jobs of a simulation, whatever controllers know of them.
+/// @file
+/// The actual state of a simulation's jobs, independent of what controllers know.
 #pragma once
 #include <map>
 #include <optional>
@@ -11,7 +12,7 @@
 
 namespace nickelramp::test {
 
-/// The jobs that were submitted, how their tasks behave, and what has truly become of them.
+/// The submitted jobs, the behaviour of their tasks, and the actual outcomes.
 class SimulatedJobs {
   public:
     void add(const wire::JobSpec& spec) { specs_[spec.id] = spec; }
@@ -19,39 +20,39 @@
     [[nodiscard]] const wire::JobSpec& spec(const std::string& id) const { return specs_.at(id); }
     [[nodiscard]] const std::map<std::string, wire::JobSpec>& specs() const { return specs_; }
 
-    /// All its tasks will fail.
+    /// Makes all tasks of the job fail.
     void make_fail(const std::string& id) { failing_.insert(id); }
     [[nodiscard]] bool fails(const std::string& id) const { return failing_.count(id) != 0; }
-    /// Its tasks take this long instead of a random duration.
+    /// Sets the duration of the job's tasks, which is random otherwise.
     void set_task_duration(const std::string& id, Millis length) { task_durations_[id] = length; }
     [[nodiscard]] std::optional<Millis> task_duration(const std::string& id) const;
 
-    /// Its user has asked to cancel it.
+    /// Records that a user has requested the job's cancellation.
     void request_cancel(const std::string& id) { cancel_requested_.insert(id); }
     [[nodiscard]] bool cancel_requested(const std::string& id) const {
         return cancel_requested_.count(id) != 0;
     }
-    /// Its user has been told that it is cancelled.
+    /// Records that the job's cancellation was confirmed to the user.
     void confirm_cancel(const std::string& id, Millis now) { cancelled_.emplace(id, now); }
     [[nodiscard]] std::optional<Millis> cancelled_at(const std::string& id) const;
 
-    /// The task has completed; of a gang all tasks complete together.
+    /// Records that the task has completed. The tasks of a gang all complete together.
     void complete(const TaskId& id, Millis now);
     [[nodiscard]] bool completed(const TaskId& id) const { return completed_.count(id) != 0; }
-    /// Every completed task and the time of its completion.
+    /// Returns every completed task with the time of its completion.
     [[nodiscard]] const std::map<TaskId, Millis>& completed_tasks() const { return completed_; }
-    /// When the last task completed; 0 while one has not.
+    /// Returns when the last task completed, or 0 if not all tasks have completed.
     [[nodiscard]] Millis completed_at(const std::string& id) const;
-    /// All tasks completed more than `longer` ago.
+    /// Returns whether all tasks completed more than `longer` ago.
     [[nodiscard]] bool completed_before(const std::string& id, Millis now, Millis longer) const;
 
     void record_attempt(const TaskId& id, std::uint32_t attempt);
-    /// A later attempt of the task has begun to run somewhere.
+    /// Returns whether a later attempt of the task has begun to run on any machine.
     [[nodiscard]] bool superseded(const TaskId& id, std::uint32_t attempt) const;
 
-    /// Its final state is on record.
+    /// Records when the job's final state was written.
     void record_final(const std::string& id, Millis now) { final_at_.emplace(id, now); }
-    /// 0 while no final state is on record.
+    /// Returns when the job's final state was written, or 0 if it has none.
     [[nodiscard]] Millis final_at(const std::string& id) const;
 
   private:
