--- a/tests/simulation_context.h
+++ b/tests/simulation_context.h
@@ -1,4 +1,5 @@
-// What all parts of a simulation share: time, randomness, faults and the trace.
+/// @file
+/// The simulated time, random generator, faults and trace that all parts of a simulation share.
 #pragma once
 #include <algorithm>
 #include <functional>
@@ -12,18 +13,20 @@
 
 namespace nickelramp::test {
 
-/// The event queue in simulated time and the one random generator. Everything that happens in a
-/// simulation is an event here, so that a seed determines the whole run.
+/// The event queue in simulated time and the only random generator. Everything that happens in a
+/// simulation is an event in this queue, so the seed determines the whole run.
 class SimulationContext {
   public:
     SimulationContext(std::uint64_t seed, Faults injected)
         : faults(std::move(injected)), random_(seed) {}
 
     [[nodiscard]] Millis now() const { return now_; }
-    /// Runs the event at that time, or at once if that is over; at equal times in order of calls.
+    /// Schedules an event. An event in the past is due immediately. Events at the same time run in
+    /// the order in which they were scheduled.
     void at(Millis time, std::function<void()> event) { queue_.emplace(time, std::move(event)); }
     void after(Millis wait, std::function<void()> event) { at(now_ + wait, std::move(event)); }
-    /// Moves on to the next event or to `latest`, whatever is first, and runs what is due.
+    /// Advances the time to the next event or to `latest`, whichever is first, and runs all due
+    /// events.
     void advance(Millis latest) {
         const Millis next = queue_.empty() ? latest : std::min(latest, queue_.begin()->first);
         now_ = std::max(now_, next);
@@ -34,11 +37,11 @@
         }
     }
 
-    /// True with that probability.
+    /// Returns true with the given probability.
     bool chance(double probability) {
         return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
     }
-    /// A random duration from 1 to `most`.
+    /// Returns a random duration from 1 to `most`.
     Millis delay(Millis most) {
         return 1 + static_cast<Millis>(random_() % static_cast<unsigned>(most));
     }
