--- a/tests/random_history.h
+++ b/tests/random_history.h
@@ -1,4 +1,5 @@
-// Random histories of a cluster, for tests that check what holds after every step.
+/// @file
+/// Random histories of a cluster, for tests that check invariants after every step.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -11,12 +12,12 @@
 
 namespace nickelramp::test {
 
-// What one step of a history does.
+/// The kinds of steps of a history.
 enum class Step {
     submit_job,
     add_machine,
     place_job,
-    place_job_again1,  // more likely than the others: without placements there is little to count
+    place_job_again1,  // repeated, so that enough tasks are placed
     place_job_again2,
     place_job_again3,
     commit_attempt,
@@ -31,7 +32,8 @@
     count
 };
 
-// Random changes of a cluster, each chosen by a step and a number that picks what it is done to.
+/// Applies random changes to a cluster. A step selects the kind of change, and a number selects the
+/// object that is changed.
 class RandomHistory {
   public:
     ControlFixture fixture;
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -12,9 +12,9 @@
 
 bool RuleChecker::check_start_command(const wire::Command& command) const {
     EXPECT_FALSE(jobs_.cancelled_at(command.job))
-        << "a start after the confirmed end of " << command.job;
+        << "start command after the confirmed cancellation of " << command.job;
     const bool known = jobs_.contains(command.job);
-    EXPECT_TRUE(known) << "a start of the unknown job " << command.job;
+    EXPECT_TRUE(known) << "start command for the unknown job " << command.job;
     return known;
 }
 
@@ -42,44 +42,46 @@
         }
     }
     check_quota(spec.team, team_gpus);
-    check_place(machine, spec, tasks_by_zone);
+    check_placement(machine, spec, tasks_by_zone);
 }
 
 void RuleChecker::check_quota(const std::string& team, double gpus) const {
     for (const auto& quota : settings_.teams) {
         if (quota.name == team) {
             EXPECT_LE(gpus, quota.gpus_max + kEpsilon)
-                << "quota of " << team << " at " << context_.now();
+                << "exceeded quota of " << team << " at " << context_.now();
         }
     }
 }
 
-void RuleChecker::check_place(const SimulatedMachine& machine, const wire::JobSpec& spec,
-                              const std::map<std::string, std::uint32_t>& tasks_by_zone) const {
+void RuleChecker::check_placement(const SimulatedMachine& machine, const wire::JobSpec& spec,
+                                  const std::map<std::string, std::uint32_t>& tasks_by_zone) const {
     const bool type_allowed = spec.any_type || std::find(spec.types.begin(), spec.types.end(),
                                                          machine.type) != spec.types.end();
     EXPECT_TRUE(type_allowed && (!spec.zone || *spec.zone == machine.zone) &&
                 (spec.spot || !machine.spot))
         << "wrong_place: " << spec.id;
     if (spec.one_zone) {
-        EXPECT_LE(tasks_by_zone.size(), 1u) << "wrong_place: " << spec.id << " is in two zones";
+        EXPECT_LE(tasks_by_zone.size(), 1u)
+            << "wrong_place: " << spec.id << " runs in more than one zone";
     }
     if (spec.spread) {
         EXPECT_LE(tasks_by_zone.at(machine.zone), (spec.tasks + 1) / 2)
-            << "wrong_place: " << spec.id << " is not spread";
+            << "wrong_place: " << spec.id << " has too many tasks in one zone";
     }
 }
 
 void RuleChecker::check_final_state(const std::string& job, const std::string& earlier,
                                     const std::string& state) {
     if (state == "withdrawn") check_withdrawn(job, earlier);
-    EXPECT_EQ(earlier, "") << "went_back: " << job << " has a final state twice";
+    EXPECT_EQ(earlier, "") << "went_back: " << job << " got a second final state";
     jobs_.record_final(job, context_.now());
     if (state == "done") check_done(job);
 }
 
 void RuleChecker::check_withdrawn(const std::string& job, const std::string& earlier) {
-    EXPECT_TRUE(jobs_.cancel_requested(job)) << "went_back: nobody cancelled " << job;
+    EXPECT_TRUE(jobs_.cancel_requested(job))
+        << "went_back: no cancellation was requested for " << job;
     EXPECT_NE(earlier, "done") << "went_back: " << job;
     jobs_.confirm_cancel(job, context_.now());
     for (const auto& [name, machine] : workers_.all()) {
@@ -93,7 +95,7 @@
 }
 
 void RuleChecker::check_done(const std::string& job) const {
-    EXPECT_FALSE(jobs_.cancelled_at(job)) << job << " was cancelled, then called done";
+    EXPECT_FALSE(jobs_.cancelled_at(job)) << job << " was cancelled and then recorded as done";
     for (std::uint32_t task = 0; task < jobs_.spec(job).tasks; ++task) {
         EXPECT_TRUE(jobs_.completed({job, task})) << "not_done: " << job << "/" << task;
     }
