--- a/tests/combined_faults.cpp
+++ b/tests/combined_faults.cpp
@@ -54,7 +54,7 @@
 }
 
 SimulationCoverage run_faulty_day(std::uint64_t seed, const Faults& faults, std::uint32_t delegated,
-                                  const MoreFaults& more) {
+                                  const FaultInjector& more) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
     ClusterSimulation simulation(seed, faults, delegated);
--- a/tests/combined_faults.h
+++ b/tests/combined_faults.h
@@ -1,4 +1,6 @@
-// Jobs, waits and random days that tests of several faults at a time share.
+/// @file
+/// Helpers for tests that combine several faults: mixed jobs, random durations and simulated runs
+/// with random faults.
 #pragma once
 #include <functional>
 #include <random>
@@ -9,35 +11,37 @@
 
 namespace nickelramp::test {
 
-/// A random duration from 0 to `limit`, which is excluded.
+/// Returns a random duration from 0 to `limit` - 1.
 Millis below(Millis limit, std::mt19937_64& random);
 
-/// Submits arrays, gangs and services in turn (job-0, job-1, ...) and lets 45 s pass, so that all
-/// of it runs.
+/// Submits arrays, gangs and services in turn (job-0, job-1, ...) and advances the simulation to
+/// 45 s, so that all of them run. Returns the ids of the jobs.
 std::vector<std::string> run_mixed_jobs(ClusterSimulation& simulation, std::mt19937_64& random,
                                         int jobs);
 
-/// Those without a final state.
+/// Returns the jobs without a final state.
 std::vector<std::string> unfinished(const ClusterSimulation& simulation,
                                     const std::vector<std::string>& ids);
 
 /// Ends all random faults, cancels the services of run_mixed_jobs(), and asserts that all jobs get
-/// a final state within that time.
+/// a final state within the given time.
 void expect_all_finish(ClusterSimulation& simulation, const std::vector<std::string>& ids,
                        Millis within);
 
-/// Cuts some machines off from replies for longer than a lease, so that their incarnations end.
+/// Blocks all messages to some machines for longer than a lease, so that their incarnations end.
 void end_some_incarnations(ClusterSimulation& simulation, std::mt19937_64& random);
 
-/// Faults on top of those of a day; called before each fault of the leader.
-using MoreFaults = std::function<void(ClusterSimulation&, std::mt19937_64&)>;
+/// Injects faults in addition to the random ones. Called before each fault of the leader.
+using FaultInjector = std::function<void(ClusterSimulation&, std::mt19937_64&)>;
 
-/// A day with these random faults, on which leaders are cut off from the key-value store, crash or
-/// freeze and users cancel jobs. Asserts that all jobs end.
+/// Runs a simulation with these random faults, in which leaders crash, freeze or cannot reach the
+/// key-value store, the store has outages, and users cancel jobs. Asserts that all jobs get a final
+/// state.
+/// @param delegated the shard_share of ClusterSimulation
 SimulationCoverage run_faulty_day(std::uint64_t seed, const Faults& faults,
-                                  std::uint32_t delegated = 0, const MoreFaults& more = {});
+                                  std::uint32_t delegated = 0, const FaultInjector& more = {});
 
-/// Adds what the tests of combined faults look at.
+/// Adds the counters that the tests of combined faults check to `sum`.
 void add(SimulationCoverage& sum, const SimulationCoverage& coverage);
 
 }  // namespace nickelramp::test
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,5 +1,5 @@
-// Two faults that meet (docs/design/combined-faults.md). Each test counts that the situation came
-// about, and fails if it did not; the simulation asserts the rules.
+// Tests of two faults at the same time (docs/design/combined-faults.md). Each test counts how often
+// its situation occurred and fails if it was too rare. The simulation asserts the rules.
 #include "tests/combined_faults.h"
 
 #include <gtest/gtest.h>
@@ -17,8 +17,9 @@
 using test::run_mixed_jobs;
 using test::unfinished;
 
-// The key-value store refuses the leader alone, another leader confirms cancellations, and then the
-// store is down for longer than cancel_s while workers go on reporting to the old leader.
+// The key-value store rejects the requests of the leader only, and another leader confirms
+// cancellations. Then the store is down for longer than cancel_s while workers continue to send
+// heartbeats to the old leader.
 class OutageAfterFailover {
   public:
     explicit OutageAfterFailover(std::uint64_t seed)
@@ -35,7 +36,7 @@
         outage_at_ = begins_ + below(16'000, random_);
     }
 
-    // Until the store is back, with cancellations at all times.
+    // Runs until the store is available again, and requests cancellations at random times.
     void run() {
         simulation_.run_until(begins_);
         simulation_.reject_leader_at_state_service(rejection_);
@@ -56,10 +57,11 @@
         while (!simulation_.state_service_up()) simulation_.run_until(simulation_.now() + 1'000);
     }
 
-    // All jobs are cancelled and get a final state soon.
+    // Cancels all jobs and asserts that each gets a final state soon.
     void expect_cancellations_confirmed() {
         for (const std::string& id : ids_) simulation_.request_cancel_until_answered(id);
-        // Unreachable machines may have been answered for two leases, and live one more.
+        // Unreachable machines may get replies for two leases, and their last lease runs for one
+        // more.
         const bool reachable = seed_ % 7 != 2 && seed_ % 5 != 2 && !commands_blocked_;
         const Millis lease = seconds(test::simulation_settings().lease_s);
         simulation_.run_until(simulation_.now() +
@@ -88,7 +90,7 @@
         return faults;
     }
 
-    // No leader's commands reach some workers, which stay with the old leader.
+    // Blocks the commands of all leaders to some workers, which therefore stay with the old leader.
     void block_commands() {
         for (const std::string& name : simulation_.working_machines()) {
             if (commands_blocked_ && (seed_ % 6 == 0 || random_() % 2 == 0))
@@ -119,8 +121,8 @@
     std::size_t confirmed_ = 0, terms_ = 0;
 };
 
-// In all orders of refusal, failover, confirmation and outage, and with a third fault in it. What
-// is confirmed is confirmed of jobs of which nothing is left, which the simulation asserts.
+// Covers all orders of rejection, failover, confirmation and outage, some with a third fault. The
+// simulation asserts that a cancellation is confirmed only when no task of the job is left.
 TEST(CombinedFaults, FailoverDuringAStateServiceOutage) {
     std::size_t confirmed_before_outage = 0, beside_old_leader = 0, by_old_leader = 0;
     for (std::uint64_t seed = 1; seed <= 160 && !HasFailure(); ++seed) {
@@ -137,8 +139,9 @@
     EXPECT_GT(by_old_leader, 300u);
 }
 
-// An old heartbeat arrives after newer ones, also from an earlier incarnation or attempt, at the
-// leader, at shard holders and partition responders, and at new leaders that know nothing newer.
+// An old heartbeat, possibly from an earlier incarnation or attempt, arrives after newer ones. It
+// arrives at the leader, at shard holders and partition responders, and at new leaders that have
+// not received the newer ones.
 TEST(CombinedFaults, OldHeartbeatsAfterNewerOnes) {
     Faults faults;
     faults.late_heartbeat_copies = 0.6;
@@ -152,9 +155,9 @@
     EXPECT_GT(coverage.copies_of_old_attempts, 100u);
 }
 
-// Leaders fail while a machine with long tasks is unreachable or does not hear the new leaders'
-// replies. Its tasks are started elsewhere only once its lease has certainly expired (otherwise the
-// simulation reports ran_twice), and then soon.
+// Leaders fail while a machine with long tasks receives no commands, or neither commands nor
+// replies. Its tasks are started on other machines only when its lease has certainly expired
+// (otherwise the simulation reports ran_twice), and soon after that.
 TEST(CombinedFaults, FailoversWhileMachinesAreUnreachable) {
     const wire::Settings settings = test::simulation_settings();
     std::size_t restarted = 0;
@@ -181,7 +184,8 @@
                 simulation.crash_leader();
             simulation.run_until(simulation.now() + 6'000);
         }
-        // The last leader counts from its own beginning: two leases of replies and one more.
+        // The last leader counts from the start of its term: two leases in which others may have
+        // replied, and one more.
         simulation.run_until(simulation.now() + seconds(3 * settings.lease_s) + 25'000);
         EXPECT_GE(simulation.running_tasks("a") + simulation.running_tasks("b"), before);
         restarted += simulation.started_tasks() > starts ? 1 : 0;
@@ -189,8 +193,8 @@
     EXPECT_GE(restarted, 15u);
 }
 
-// The old leader reaches its workers and users, but neither the key-value store nor the other
-// controllers, for longer than it may respond; jobs are cancelled through the new leader.
+// The old leader can reach its workers and users, but neither the key-value store nor the other
+// controllers, for longer than it may respond. The new leader cancels jobs meanwhile.
 TEST(CombinedFaults, ALeaderThatReachesWorkersAndUsersOnly) {
     std::size_t beside_old_leader = 0;
     for (std::uint64_t seed = 400; seed < 430 && !HasFailure(); ++seed) {
@@ -213,7 +217,7 @@
     EXPECT_GT(beside_old_leader, 40u);
 }
 
-// Submits 20 jobs of two or three tasks, and changes the leader now and then meanwhile.
+// Submits 20 jobs of two or three tasks and replaces the leader at random times meanwhile.
 std::vector<std::string> submit_small_jobs(ClusterSimulation& simulation, std::mt19937_64& random) {
     std::vector<std::string> ids;
     for (int n = 0; n < 20; ++n) {
@@ -232,9 +236,9 @@
     return ids;
 }
 
-// The tasks of a job end far apart, and the leader changes in between, while completions are on no
-// record yet. A job is called done when all tasks are (otherwise the simulation reports not_done),
-// and soon.
+// The tasks of a job end at very different times, and the leader changes in between, before the
+// first completions are recorded. A job is recorded as done only when all its tasks are done
+// (otherwise the simulation reports not_done), and soon after that.
 TEST(CombinedFaults, FewTasksThatEndFarApart) {
     ClusterSimulation::Coverage coverage;
     for (std::uint64_t seed = 500; seed < 540 && !HasFailure(); ++seed) {
@@ -246,8 +250,8 @@
         simulation.simulate_leader_leases();
         const auto ids = submit_small_jobs(simulation, random);
         simulation.clear_faults();
-        simulation.run_until(simulation.now() + 15'000);  // there is a leader again
-        // Heartbeats come every 3 s here, and nothing brings one sooner.
+        simulation.run_until(simulation.now() + 15'000);  // a new leader is elected meanwhile
+        // Workers send heartbeats only every 3 s, and no event makes them send one earlier.
         EXPECT_TRUE(simulation.jobs_reported_late(10'000).empty())
             << simulation.jobs_reported_late(10'000).front();
         expect_all_finish(simulation, ids, 200'000);
@@ -256,8 +260,9 @@
     EXPECT_GT(coverage.unrecorded_completions, 50u);
 }
 
-// A command or its reply is delayed for seconds up to a minute: it is executed, or refused because
-// its attempt was given up, its leader replaced or the worker's incarnation has ended.
+// A command or its reply is delayed by seconds up to a minute. The worker executes the command, or
+// refuses it because its attempt was abandoned, its leader was replaced or the worker's incarnation
+// has ended.
 TEST(CombinedFaults, CommandsDelayedForSeconds) {
     Faults faults;
     faults.delayed_commands = 0.25;
@@ -270,8 +275,8 @@
     EXPECT_GT(coverage.delayed_commands_refused, 500u);
 }
 
-// Transactions without a reply, of leaders, shard holders and users, are applied late: after newer
-// ones of the same controller, and some when their leader was replaced.
+// Transactions of leaders, shard holders and users that get no reply are applied late: after newer
+// ones of the same controller, and in some cases after their leader was replaced.
 TEST(CombinedFaults, TransactionsAppliedLate) {
     Faults faults;
     faults.unknown_commits = 0.35;
@@ -282,8 +287,8 @@
     EXPECT_GT(coverage.late_commits_refused, 800u);
 }
 
-// Jobs of one task, four a second for two minutes, of which a quarter is cancelled. In the middle
-// there is one gang.
+// Submits four jobs of one task per second for two minutes and cancels a quarter of them. One gang
+// is submitted in the middle.
 class ManySmallJobs {
   public:
     explicit ManySmallJobs(std::uint64_t seed)
@@ -310,12 +315,12 @@
     void expect_all_finish_soon() {
         expect_all_finish(simulation_, ids_, 60'000);
         measure_cancellations();
-        EXPECT_LE(longest_cancellation_, 10'000);  // with a failover in it
+        EXPECT_LE(longest_cancellation_, 10'000);  // includes a failover
         EXPECT_LE(most_unfinished_, 200u);
     }
 
     std::size_t jobs() const { return ids_.size(); }
-    // Until the last job was submitted.
+    // The number of writes until the last job was submitted.
     std::size_t writes() const { return writes_; }
     std::size_t withdrawn() const {
         return static_cast<std::size_t>(std::count_if(ids_.begin(), ids_.end(), [&](auto& id) {
@@ -351,7 +356,7 @@
         }
     }
 
-    // How long the cancellations that are not confirmed yet have been waiting.
+    // Updates the longest time that an unconfirmed cancellation has been pending.
     void measure_cancellations() {
         std::erase_if(requested_at_, [&](const auto& request) {
             return !simulation_.final_state(request.first).empty();
@@ -365,14 +370,14 @@
     ClusterSimulation simulation_;
     bool leader_crashes_;
     std::vector<std::string> ids_;
-    std::multimap<Millis, std::string> cancellations_;  // to come, by time
+    std::multimap<Millis, std::string> cancellations_;  // future requests, by time
     std::map<std::string, Millis> requested_at_;        // of jobs without a final state
     std::size_t most_unfinished_ = 0, writes_ = 0;
     Millis longest_cancellation_ = 0;
 };
 
-// With no more writes than the key-value store accepts, and with leaders that crash in some runs:
-// nothing is forgotten or piles up, cancellations are confirmed soon, and a gang gets its slots.
+// The key-value store limits the write rate, and leaders crash in some runs. No job is lost, the
+// number of open jobs stays bounded, cancellations are confirmed soon, and the gang gets its slots.
 TEST(CombinedFaults, OneTaskJobsFourASecondAQuarterCancelled) {
     std::size_t withdrawn = 0, jobs = 0, writes = 0;
     for (std::uint64_t seed = 900; seed < 908 && !HasFailure(); ++seed) {
@@ -385,8 +390,8 @@
         withdrawn += scenario.withdrawn();
     }
     EXPECT_GT(withdrawn, 400u);
-    // Two for the submission of a job, one for its start, three for its end, one for a
-    // cancellation, and what machines and failovers cost.
+    // Two writes for the submission of a job, one for its start, three for its end, one for a
+    // cancellation, and some for machines and failovers.
     EXPECT_LE(writes, jobs * 7);
 }
 
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -1,4 +1,4 @@
-// Every fault of a table with every other (docs/design/combined-faults.md).
+// Tests every ordered pair of faults of a table (docs/design/combined-faults.md).
 #include <gtest/gtest.h>
 
 #include "tests/combined_faults.h"
@@ -15,14 +15,16 @@
     std::function<void(ClusterSimulation&, std::mt19937_64&)> inject;
 };
 
-// A random fault that goes on until the next one, or until all jobs are to finish.
-NamedFault lasting(const char* name, const Faults& faults) {
+// Returns a fault that sets these random faults. They last until another random fault replaces
+// them, or until expect_all_finish() ends them.
+NamedFault lasting_fault(const char* name, const Faults& faults) {
     return {name,
             [faults](ClusterSimulation& simulation, auto&) { simulation.set_faults(faults); }};
 }
 
-// For one of `part` machines with tasks.
-NamedFault of_machines(
+// Returns a fault that injects `inject` into each machine with tasks with a probability of
+// 1 / `part`.
+NamedFault machine_fault(
     const char* name, std::size_t part,
     std::function<void(ClusterSimulation&, std::mt19937_64&, const std::string&)> inject) {
     return {name, [part, inject = std::move(inject)](ClusterSimulation& simulation,
@@ -63,19 +65,19 @@
     delayed_commands.delayed_commands = 0.3;
     late_writes.unknown_commits = 0.4;
     return {
-        lasting("heartbeat copies", copies),
-        lasting("delayed commands", delayed_commands),
-        lasting("late writes", late_writes),
-        of_machines("outbound only", 3,
-                    [](auto& simulation, auto& random, const std::string& machine) {
-                        const Millis until = simulation.now() + 5'000 + below(60'000, random);
-                        simulation.block_inbound(machine, until);
-                    }),
-        of_machines("no commands", 2,
-                    [](auto& simulation, auto& random, const std::string& machine) {
-                        const Millis until = simulation.now() + 5'000 + below(60'000, random);
-                        simulation.block_commands(machine, until);
-                    }),
+        lasting_fault("heartbeat copies", copies),
+        lasting_fault("delayed commands", delayed_commands),
+        lasting_fault("late writes", late_writes),
+        machine_fault("outbound only", 3,
+                      [](auto& simulation, auto& random, const std::string& machine) {
+                          const Millis until = simulation.now() + 5'000 + below(60'000, random);
+                          simulation.block_inbound(machine, until);
+                      }),
+        machine_fault("no commands", 2,
+                      [](auto& simulation, auto& random, const std::string& machine) {
+                          const Millis until = simulation.now() + 5'000 + below(60'000, random);
+                          simulation.block_commands(machine, until);
+                      }),
     };
 }
 
@@ -93,14 +95,14 @@
              const Millis until = simulation.now() + 3'000 + below(40'000, random);
              simulation.partition({"a", 0.4, true, false, false, simulation.now(), until});
          }},
-        of_machines("machines die", 4,
-                    [](auto& simulation, auto&, const std::string& machine) {
-                        simulation.kill_machine(machine);
-                    }),
-        of_machines("workers restart", 4,
-                    [](auto& simulation, auto&, const std::string& machine) {
-                        simulation.restart_machine(machine);
-                    }),
+        machine_fault("machines die", 4,
+                      [](auto& simulation, auto&, const std::string& machine) {
+                          simulation.kill_machine(machine);
+                      }),
+        machine_fault("workers restart", 4,
+                      [](auto& simulation, auto&, const std::string& machine) {
+                          simulation.restart_machine(machine);
+                      }),
         {"shard holders restart",
          [](ClusterSimulation& simulation, std::mt19937_64&) { simulation.restart_holders(); }},
     };
@@ -119,7 +121,8 @@
         if (random() % 3 == 0) simulation.request_cancel_until_answered(id);
 }
 
-// At the same moment or seconds apart, with cancellations before each.
+// Injects the faults at the same time or up to 9 s apart. Some jobs are cancelled before the first
+// fault and after the second.
 void inject_both(std::uint64_t seed, const NamedFault& first, const NamedFault& second) {
     std::mt19937_64 random(seed);
     ClusterSimulation simulation(seed, {}, 1);
