--- a/src/autoscaling/rebalancer.cpp
+++ b/src/autoscaling/rebalancer.cpp
@@ -110,7 +110,7 @@
 }
 
 bool Rebalancer::may_move(const Attempt& attempt, const Job& job, Millis now) {
-    return job.is_service() && attempt.state == AttemptState::running && !attempt.stop_wanted &&
+    return job.is_service() && attempt.state == AttemptState::running && !attempt.stop_requested &&
            !job.spec.one_zone && now - attempt.running_since >= kMinRunTime;
 }
 
--- a/src/cluster/cluster_attempt_ends.cpp
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -122,8 +122,8 @@
         attempt_gone(attempt, now);  // its start command was never sent
         return;
     }
-    if (attempt.stop_wanted && attempt.stop_grace_s <= grace_s) return;
-    attempt.stop_wanted = true;
+    if (attempt.stop_requested && attempt.stop_grace_s <= grace_s) return;
+    attempt.stop_requested = true;
     attempt.stop_grace_s = grace_s;
     attempt.stop_sent = false;
     if (Machine* machine = machine_of(attempt)) actions_.queue_commands(*machine);
@@ -166,7 +166,7 @@
     job.gang_broken = true;
     std::vector<Attempt*> to_stop;
     for (const auto& attempt : job.attempts) {
-        const bool saves = attempt->stop_wanted && attempt->stop_grace_s > 0;
+        const bool saves = attempt->stop_requested && attempt->stop_grace_s > 0;
         if (attempt->live() && !saves) to_stop.push_back(attempt.get());
     }
     for (Attempt* attempt : to_stop) request_stop(*attempt, 0, now);
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -94,7 +94,7 @@
         if (commands.size() >= kMaxCommandsPerMessage) break;
         const Job& job = cluster_.job_of(*attempt);
         if (attempt->live()) {
-            if (attempt->stop_wanted)
+            if (attempt->stop_requested)
                 commands.push_back(
                     command_for(Command::Op::stop, job, *attempt, attempt->stop_grace_s));
             continue;
@@ -186,7 +186,7 @@
 std::optional<Command> CommandSender::take_due_command(Attempt& attempt, Machine& machine,
                                                        Millis now) {
     const Job& job = cluster_.job_of(attempt);
-    if (attempt.live() && attempt.stop_wanted && !attempt.stop_sent) {
+    if (attempt.live() && attempt.stop_requested && !attempt.stop_sent) {
         attempt.stop_sent = true;
         return command_for(Command::Op::stop, job, attempt, attempt.stop_grace_s);
     }
--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -150,7 +150,7 @@
     move.job = job.spec.id;
     move.task = attempt.task;
     move.observed_completions = forecast_.observed_completions(job);
-    if (attempt.stop_wanted || job.state != jobs::JobState::open) {
+    if (attempt.stop_requested || job.state != jobs::JobState::open) {
         move.kind = MoveKind::already_stopping;
         move.stops_s = move.restarts_s = attempt.stop_grace_s + kStopOverheadS;
         return move;
--- a/src/jobs/attempt.h
+++ b/src/jobs/attempt.h
@@ -39,7 +39,7 @@
     // Sequence number of the worker's reply to the start command; 0: no reply was received.
     std::uint64_t start_reply_sequence = 0;
     bool stop_sent = false;
-    bool stop_wanted = false;
+    bool stop_requested = false;
     double stop_grace_s = 0;  // time to save its progress before a wanted stop
     wire::ExitCause cause = wire::ExitCause::none;
     Millis placed_at = 0;
--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -98,7 +98,7 @@
 FreeResources PreemptionSearch::free_soon(const Machine& machine) const {
     FreeResources free = FreeResources::of(machine);
     for (const Attempt* attempt : machine.attempts) {
-        if (attempt->live() && attempt->stop_wanted)
+        if (attempt->live() && attempt->stop_requested)
             free.add(placement::need_of(cluster_.job_of(*attempt)));
     }
     return free;
@@ -153,7 +153,7 @@
     // stopped only once the job has waited for that long.
     const bool gangs_too = job_.unplaced_since != 0 && now_ - job_.unplaced_since >= boot_time_;
     for (Attempt* attempt : machine.attempts) {
-        if (!attempt->live() || attempt->stop_wanted || !rules_.may_preempt(*attempt, job_))
+        if (!attempt->live() || attempt->stop_requested || !rules_.may_preempt(*attempt, job_))
             continue;
         const Job& victim = cluster_.job_of(*attempt);
         if (victim.is_gang() && !gangs_too) continue;
--- a/src/scheduling/quota_preemption.cpp
+++ b/src/scheduling/quota_preemption.cpp
@@ -63,7 +63,7 @@
 void QuotaPreemption::collect_victims_of(const Job& victim, Amount& total) {
     for (const auto& attempt : victim.attempts) {
         if (!attempt->live()) continue;
-        if (attempt->stop_wanted) {
+        if (attempt->stop_requested) {
             shortage_.gpus -= victim.spec.gpus;
             shortage_.cpus -= victim.spec.cpus;
             continue;
--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -211,7 +211,7 @@
                 (job->commit_in_flight ? ", commit in flight" : "") + ":";
         for (const auto& attempt : job->attempts) {
             text += std::string(" ") + jobs::name(attempt->state) +
-                    (attempt->stop_wanted ? "(stopping)" : "");
+                    (attempt->stop_requested ? "(stopping)" : "");
         }
         text += "; ";
     }
--- a/tests/control_loop_test.cpp
+++ b/tests/control_loop_test.cpp
@@ -49,7 +49,7 @@
         description += id + " is " + jobs::name(job->state) + ":";
         for (const auto& attempt : job->attempts) {
             description += std::string(" ") + jobs::name(attempt->state) +
-                           (attempt->stop_wanted ? "(stopping)" : "");
+                           (attempt->stop_requested ? "(stopping)" : "");
         }
         description += "; ";
     }
