--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -18,7 +18,7 @@
 
 void ClusterState::add_team(const wire::Team& rule) {
     team_names_.add(rule.name);
-    team_rules_.push_back(rule);
+    team_quotas_.push_back(rule);
     team_usage_.emplace_back();
     quota_reservations_.add_team();
     guaranteed_quotas_.push_back(std::make_unique<GuaranteedQuota>(rule));
--- a/src/cluster/cluster_state.h
+++ b/src/cluster/cluster_state.h
@@ -57,7 +57,7 @@
     [[nodiscard]] const Names& type_names() const { return type_names_; }
     [[nodiscard]] const Names& zones() const { return zone_names_; }
     [[nodiscard]] const Names& classes() const { return class_names_; }
-    [[nodiscard]] const wire::Team& team_rule(Index team) const { return team_rules_[team]; }
+    [[nodiscard]] const wire::Team& team_quota(Index team) const { return team_quotas_[team]; }
     [[nodiscard]] const TeamUsage& team_usage(Index team) const { return team_usage_[team]; }
 
     // --- queries: jobs
@@ -300,7 +300,7 @@
 
     Names type_names_, zone_names_, image_names_, team_names_, class_names_;
     std::vector<wire::MachineType> types_;
-    std::vector<wire::Team> team_rules_;
+    std::vector<wire::Team> team_quotas_;
     std::vector<TeamUsage> team_usage_;
     std::vector<std::unique_ptr<GuaranteedQuota>> guaranteed_quotas_;  // by team
 
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -31,7 +31,7 @@
 
 std::uint32_t PlacementRules::tasks_within_limit(const Job& job) const {
     if (term_.is_shard_holder()) return job.spec.tasks;  // charged to the quota by the leader
-    const wire::Team& quota = cluster_.team_rule(job.team);
+    const wire::Team& quota = cluster_.team_quota(job.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(job.team);
     // A gang needs quota for all its tasks at once. Quota that becomes free is reserved for a gang
     // that has waited long. Otherwise small tasks would use it first and the gang would never
@@ -127,7 +127,7 @@
     if (victim.spec.priority < job.spec.priority) return true;
     if (!job.within_guaranteed_quota || victim.team == job.team || victim.within_guaranteed_quota)
         return false;
-    const wire::Team& guaranteed = cluster_.team_rule(victim.team);
+    const wire::Team& guaranteed = cluster_.team_quota(victim.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(victim.team);
     return usage.gpus > guaranteed.gpus + placement::kFitTolerance ||
            (guaranteed.gpus <= 0 && usage.cpus > guaranteed.cpus);
--- a/src/scheduling/quota_preemption.cpp
+++ b/src/scheduling/quota_preemption.cpp
@@ -36,7 +36,7 @@
 }
 
 QuotaPreemption::Amount QuotaPreemption::shortage_in_quota() const {
-    const wire::Team& quota = cluster_.team_rule(gang_.team);
+    const wire::Team& quota = cluster_.team_quota(gang_.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(gang_.team);
     const wire::JobSpec& spec = gang_.spec;
     Amount shortage;
