--- a/src/autoscaling/scale_out_plan.cpp
+++ b/src/autoscaling/scale_out_plan.cpp
@@ -104,7 +104,7 @@
 // Returns std::nullopt for a gang that exceeds its team's remaining quota, since more machines
 // would not help it.
 std::optional<ScaleOutPlan::JobRequirement> ScaleOutPlan::requirement_of(const Job& job) const {
-    const std::uint32_t tasks = std::min(job.placeable_tasks(), rules_.tasks_within_limit(job));
+    const std::uint32_t tasks = std::min(job.placeable_tasks(), rules_.tasks_within_quota(job));
     if (job.is_gang() && tasks < job.spec.tasks) return std::nullopt;
     std::vector<std::uint32_t> tasks_by_zone(cluster_.zones().size());
     Index only_zone = job.zone;
--- a/src/control/overview_page.cpp
+++ b/src/control/overview_page.cpp
@@ -64,7 +64,7 @@
     if (now < job.backoff_until) return "held back after failures";
     if (!term_.lease_confirmed(now)) return "the state service does not answer the leader";
     const std::uint32_t needed_tasks = job.is_gang() ? job.spec.tasks : 1;
-    if (placement_rules_.tasks_within_limit(job) < needed_tasks) {
+    if (placement_rules_.tasks_within_quota(job) < needed_tasks) {
         const Job* gang = cluster_.quota_reserved_for(job.team);
         if (gang == nullptr || gang == &job) return "its team is at its limit";
         return "what its team's limit leaves is gathered for " + gang->spec.id;
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -29,7 +29,7 @@
     return job.spec.spot || !machine.spot;
 }
 
-std::uint32_t PlacementRules::tasks_within_limit(const Job& job) const {
+std::uint32_t PlacementRules::tasks_within_quota(const Job& job) const {
     if (term_.is_shard_holder()) return job.spec.tasks;  // charged to the quota by the leader
     const wire::Team& quota = cluster_.team_quota(job.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(job.team);
@@ -55,7 +55,7 @@
 }
 
 bool PlacementRules::within_limit(const Job& job, std::uint32_t tasks) const {
-    return tasks_within_limit(job) >= tasks;
+    return tasks_within_quota(job) >= tasks;
 }
 
 double PlacementRules::placement_cost(const Job& job, const Machine& machine) const {
--- a/src/scheduling/placement_rules.h
+++ b/src/scheduling/placement_rules.h
@@ -26,7 +26,7 @@
     /// on-demand). Does not consider free capacity.
     [[nodiscard]] bool allowed(const jobs::Job& job, const machines::Machine& machine) const;
     /// Returns how many more tasks of the job fit its team's quota.
-    [[nodiscard]] std::uint32_t tasks_within_limit(const jobs::Job& job) const;
+    [[nodiscard]] std::uint32_t tasks_within_quota(const jobs::Job& job) const;
     /// Returns whether `tasks` more tasks of the job fit its team's quota.
     [[nodiscard]] bool within_limit(const jobs::Job& job, std::uint32_t tasks) const;
     /// Returns whether a task of the job with this need may start on the machine now.
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -46,7 +46,7 @@
 bool Scheduler::make_room(Job& job, Millis now) {
     const std::uint32_t tasks =
         job.is_gang() ? job.spec.tasks
-                      : std::min(job.placeable_tasks(), rules_.tasks_within_limit(job));
+                      : std::min(job.placeable_tasks(), rules_.tasks_within_quota(job));
     return tasks > 0 && rules_.within_limit(job, tasks) && preempt_for(job, tasks, now);
 }
 
