--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -17,7 +17,7 @@
     : cluster_(cluster), rules_(rules), gang_(gang), now_(now) {}
 
 bool GangPlacement::run() {
-    if (!rules_.within_limit(gang_, gang_.spec.tasks)) return false;
+    if (!rules_.within_quota(gang_, gang_.spec.tasks)) return false;
     collect_candidates();
     const std::optional<Assignment> assignment = best_assignment();
     return assignment && start(*assignment);
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -54,7 +54,7 @@
     return tasks <= 0 ? 0 : static_cast<std::uint32_t>(tasks);
 }
 
-bool PlacementRules::within_limit(const Job& job, std::uint32_t tasks) const {
+bool PlacementRules::within_quota(const Job& job, std::uint32_t tasks) const {
     return tasks_within_quota(job) >= tasks;
 }
 
--- a/src/scheduling/placement_rules.h
+++ b/src/scheduling/placement_rules.h
@@ -28,7 +28,7 @@
     /// Returns how many more tasks of the job fit its team's quota.
     [[nodiscard]] std::uint32_t tasks_within_quota(const jobs::Job& job) const;
     /// Returns whether `tasks` more tasks of the job fit its team's quota.
-    [[nodiscard]] bool within_limit(const jobs::Job& job, std::uint32_t tasks) const;
+    [[nodiscard]] bool within_quota(const jobs::Job& job, std::uint32_t tasks) const;
     /// Returns whether a task of the job with this need may start on the machine now.
     [[nodiscard]] bool may_start_on(const jobs::Job& job, const machines::Machine& machine,
                                     const placement::Need& need, Millis now) const;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -47,7 +47,7 @@
     const std::uint32_t tasks =
         job.is_gang() ? job.spec.tasks
                       : std::min(job.placeable_tasks(), rules_.tasks_within_quota(job));
-    return tasks > 0 && rules_.within_limit(job, tasks) && preempt_for(job, tasks, now);
+    return tasks > 0 && rules_.within_quota(job, tasks) && preempt_for(job, tasks, now);
 }
 
 // A search examines a limited number of machines, and the next search continues after them.
@@ -78,7 +78,7 @@
 // team. Once the gang fits, the reservation is kept for about as long as a machine takes to boot.
 // It is then paused so that other jobs of the team can use the quota.
 void Scheduler::update_quota_reservation(Job& gang, Millis now) {
-    if (!rules_.within_limit(gang, gang.spec.tasks)) {
+    if (!rules_.within_quota(gang, gang.spec.tasks)) {
         gang.fits_limit_since = 0;
         if (cluster_.may_reserve_quota(gang.team, now)) QuotaPreemption(cluster_, gang, now).run();
         return;
--- a/src/scheduling/task_placement.cpp
+++ b/src/scheduling/task_placement.cpp
@@ -33,7 +33,7 @@
     if (!count_live_tasks()) return false;
     collect_candidates();
     wanted_replica_slots_ = forecast_.wanted_replica_slots(now_);
-    while (!candidates_.empty() && job_.unplaced_tasks() > 0 && rules_.within_limit(job_, 1)) {
+    while (!candidates_.empty() && job_.unplaced_tasks() > 0 && rules_.within_quota(job_, 1)) {
         Machine& machine = pop_cheapest();
         if (!may_use(machine)) continue;
         if (!start_next_task(machine)) return false;
@@ -60,7 +60,7 @@
 }
 
 void TaskPlacement::collect_candidates() {
-    if (rules_.within_limit(job_, 1)) {
+    if (rules_.within_quota(job_, 1)) {
         for (Machine* machine : rules_.fitting_machines(job_, need_, now_)) {
             if (withheld_.withholds(withheld_from_job(*machine))) continue;
             candidates_.push_back(candidate(*machine));
--- a/src/sharding/shard_allocator.cpp
+++ b/src/sharding/shard_allocator.cpp
@@ -97,7 +97,7 @@
 bool ShardAllocator::can_be_delegated(const Job& job) const {
     if (term_.is_shard_holder() || leases_.empty()) return false;
     if (!job.attempts.empty() || job.commit_in_flight) return false;
-    if (job.unplaced_tasks() != job.spec.tasks || !rules_.within_limit(job, job.spec.tasks))
+    if (job.unplaced_tasks() != job.spec.tasks || !rules_.within_quota(job, job.spec.tasks))
         return false;
     // The replicas of a service never end, so the shard would never become idle.
     if (job.is_service()) return false;
