--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -79,17 +79,17 @@
 // It is then paused so that other jobs of the team can use the quota.
 void Scheduler::update_quota_reservation(Job& gang, Millis now) {
     if (!rules_.within_quota(gang, gang.spec.tasks)) {
-        gang.fits_limit_since = 0;
+        gang.fits_quota_since = 0;
         if (cluster_.may_reserve_quota(gang.team, now)) QuotaPreemption(cluster_, gang, now).run();
         return;
     }
-    if (gang.fits_limit_since == 0) {
-        gang.fits_limit_since = now;
+    if (gang.fits_quota_since == 0) {
+        gang.fits_quota_since = now;
         // Resets the state of preemption within the quota, which does not apply to machines.
         gang.preemption_under_way = false;
         gang.next_preemption_at = 0;
     }
-    if (now - gang.fits_limit_since <= typical_boot_time(cluster_) + kReservationDuration) return;
+    if (now - gang.fits_quota_since <= typical_boot_time(cluster_) + kReservationDuration) return;
     cluster_.pause_quota_reservation(gang, now);
 }
 
