--- a/src/cluster/cluster_attempt_ends.cpp
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -15,7 +15,7 @@
 // A job whose tasks fail on several machines is put on trial: it runs one task at a time, with a
 // back-off between the starts of consecutive tasks that doubles each time.
 constexpr Millis kFirstBackoff = 10'000;
-constexpr Millis kLongestBackoff = jobs::kMaxHoldBack * 3 / 4;
+constexpr Millis kLongestBackoff = jobs::kMaxWithholdingTime * 3 / 4;
 constexpr Millis kShortestBackoff = kFirstBackoff / 2;  // counted from the end of a task
 constexpr std::uint32_t kMaxBackoffDoublings = 6;
 
--- a/src/cluster/quota_reservations.cpp
+++ b/src/cluster/quota_reservations.cpp
@@ -3,7 +3,7 @@
 namespace nickelramp::cluster {
 
 using jobs::Job;
-using jobs::kMaxHoldBack;
+using jobs::kMaxWithholdingTime;
 
 const Job* QuotaReservations::reserved_for(Index team) const {
     const Index gang = by_team_[team].gang;
@@ -16,13 +16,13 @@
 
 bool QuotaReservations::may_reserve(Index team, Millis now) const {
     const Millis elapsed = now - by_team_[team].since;
-    return elapsed <= kMaxHoldBack || elapsed > kMaxHoldBack + kPause;
+    return elapsed <= kMaxWithholdingTime || elapsed > kMaxWithholdingTime + kPause;
 }
 
 void QuotaReservations::reserve(const Job& gang, Millis now) {
     if (!may_reserve(gang.team, now)) return;
     Reservation& reservation = by_team_[gang.team];
-    if (now - reservation.since > kMaxHoldBack) reservation.since = now;
+    if (now - reservation.since > kMaxWithholdingTime) reservation.since = now;
     const Job* current = reserved_for(gang.team);
     if (current == nullptr || gang.accepted_at < current->accepted_at)
         reservation.gang = gang.index;
@@ -37,12 +37,12 @@
     Reservation& reservation = by_team_[gang.team];
     if (reservation.gang != gang.index) return;
     reservation.gang = kNone;
-    reservation.since = now - kMaxHoldBack - 1;
+    reservation.since = now - kMaxWithholdingTime - 1;
 }
 
 void QuotaReservations::expire(Millis now) {
     for (Reservation& reservation : by_team_) {
-        if (now - reservation.since > kMaxHoldBack) reservation.gang = kNone;
+        if (now - reservation.since > kMaxWithholdingTime) reservation.gang = kNone;
     }
 }
 
--- a/src/cluster/quota_reservations.h
+++ b/src/cluster/quota_reservations.h
@@ -12,8 +12,8 @@
 namespace nickelramp::cluster {
 
 /// Stores for each team the gang for which quota is reserved, and since when. A team may reserve
-/// quota for at most jobs::kMaxHoldBack without interruption, in total over all gangs. Then it
-/// pauses for kPause, during which its other jobs may use the free quota. Owned by ClusterState,
+/// quota for at most jobs::kMaxWithholdingTime without interruption, in total over all gangs. Then
+/// it pauses for kPause, during which its other jobs may use the free quota. Owned by ClusterState,
 /// used by the scheduler.
 class QuotaReservations {
   public:
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -22,7 +22,7 @@
 /// The longest time for which a job that could start is held back for any reason other than missing
 /// machines or its team's limit: capacity reserved for other work, or a suspicion that the job is
 /// faulty (docs/design/waiting-jobs.md).
-inline constexpr Millis kMaxHoldBack = 60'000;
+inline constexpr Millis kMaxWithholdingTime = 60'000;
 
 enum class JobState {
     open,       ///< accepted and not known to have ended
@@ -144,9 +144,9 @@
     /// Returns whether the checkpoints of all live attempts are committed. A gang starts only then.
     [[nodiscard]] bool all_attempts_recorded() const { return unconfirmed_attempts == 0; }
     /// Returns whether free slots may be withheld from this job for other jobs. They may not once
-    /// they have been withheld for more than kMaxHoldBack.
+    /// they have been withheld for more than kMaxWithholdingTime.
     [[nodiscard]] bool may_withhold_capacity(Millis now) const {
-        return capacity_withheld_since == 0 || now - capacity_withheld_since <= kMaxHoldBack;
+        return capacity_withheld_since == 0 || now - capacity_withheld_since <= kMaxWithholdingTime;
     }
     /// Returns the relative cost of a slot on the type; 1 for a type that was not known when the
     /// job was added.
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -59,7 +59,7 @@
     const std::size_t intervals = 1 + search_size / (PreemptionSearch::kMachinesPerSearch + 1);
     job.next_preemption_at = now + kSearchInterval * static_cast<Millis>(intervals);
     job.preemption_under_way = false;
-    if (job.reservations_since != 0 && now - job.reservations_since > jobs::kMaxHoldBack) {
+    if (job.reservations_since != 0 && now - job.reservations_since > jobs::kMaxWithholdingTime) {
         // The job was not placed on its reserved machines in time, so other jobs may use them for a
         // while.
         release_reservations(cluster_, job);
--- a/src/scheduling/withheld_capacity.h
+++ b/src/scheduling/withheld_capacity.h
@@ -6,8 +6,8 @@
 namespace nickelramp::scheduling {
 
 /// Records, during one attempt at placing a job, whether free capacity that fits the job was
-/// withheld for other work. Capacity is withheld from a job for at most jobs::kMaxHoldBack. After
-/// that the job may use one withheld slot, and the time starts again.
+/// withheld for other work. Capacity is withheld from a job for at most jobs::kMaxWithholdingTime.
+/// After that the job may use one withheld slot, and the time starts again.
 class WithheldCapacity {
   public:
     WithheldCapacity(const jobs::Job& job, Millis now)
--- a/src/sharding/shard_reclaim.cpp
+++ b/src/sharding/shard_reclaim.cpp
@@ -18,9 +18,9 @@
 constexpr Millis kMaxUnconfirmed = 8'000;
 // A shard is reclaimed when its holder has not reported a delegated job for this long (no grant
 // reaches the holder), or when other jobs could not be placed for this long. Reclaiming it takes at
-// most as long again, so that no job is held back for longer than jobs::kMaxHoldBack.
-constexpr Millis kMaxJobUnconfirmed = jobs::kMaxHoldBack / 2;
-constexpr Millis kMaxStarving = jobs::kMaxHoldBack / 2;
+// most as long again, so that no job is held back for longer than jobs::kMaxWithholdingTime.
+constexpr Millis kMaxJobUnconfirmed = jobs::kMaxWithholdingTime / 2;
+constexpr Millis kMaxStarving = jobs::kMaxWithholdingTime / 2;
 }  // namespace
 
 const char* name(ShardExpiryReason reason) {
--- a/tests/quota_reservations_test.cpp
+++ b/tests/quota_reservations_test.cpp
@@ -78,7 +78,7 @@
     const Job& second = add_gang(0, 200);
     reservations.reserve(first, 1000);
     reservations.release(first);
-    const Millis end = 1000 + jobs::kMaxHoldBack;
+    const Millis end = 1000 + jobs::kMaxWithholdingTime;
     reservations.reserve(second, end);
     EXPECT_EQ(reservations.reserved_for(0), &second);
     reservations.expire(end);
--- a/tests/waiting_jobs_test.cpp
+++ b/tests/waiting_jobs_test.cpp
@@ -290,7 +290,7 @@
                !HasFailure())
             simulation.run_until(simulation.now() + 500);
         EXPECT_GT(simulation.longest_wait(), 20'000);  // the quota was reserved
-        EXPECT_LT(simulation.longest_wait(), jobs::kMaxHoldBack + 10'000);
+        EXPECT_LT(simulation.longest_wait(), jobs::kMaxWithholdingTime + 10'000);
     }
 }
 
