--- a/src/cluster/cluster_state.h
+++ b/src/cluster/cluster_state.h
@@ -177,7 +177,7 @@
     void delegate_job(Job& job, Index shard);
     void reclaim_job(Job& job);
     /// Schedules the next check of the job by JobLifecycle.
-    void wake_at(const Job& job, Millis at) { job_deadlines_.schedule(job.index, at); }
+    void schedule_check(const Job& job, Millis at) { job_deadlines_.schedule(job.index, at); }
     [[nodiscard]] std::vector<Index> take_due_jobs(Millis now) {
         return take_due(job_deadlines_, now);
     }
@@ -249,7 +249,7 @@
     /// tombstone.
     void machine_gone(Machine& machine, Millis now);
     /// Schedules the next check of the machine by ControlLoop.
-    void wake_at(const Machine& machine, Millis at) {
+    void schedule_check(const Machine& machine, Millis at) {
         machine_deadlines_.schedule(machine.index, at);
     }
     [[nodiscard]] std::vector<Index> take_due_machines(Millis now) {
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -140,7 +140,7 @@
 bool CommandSender::may_send(const Machine& machine, Millis now) {
     if (machine.command_in_flight || machine.address.empty()) return false;
     if (now < machine.retry_command_at) {
-        cluster_.wake_at(machine, machine.retry_command_at);
+        cluster_.schedule_check(machine, machine.retry_command_at);
         return false;
     }
     const std::size_t max_in_flight =
@@ -148,7 +148,7 @@
     if (in_flight_count_ >= max_in_flight) {
         // A new leader probes every machine at once. The remaining messages are sent as replies to
         // the first ones arrive.
-        cluster_.wake_at(machine, now + kRetryAfterUnknownOutcome);
+        cluster_.schedule_check(machine, now + kRetryAfterUnknownOutcome);
         return false;
     }
     return machine.state != MachineState::leased_out && machine.token != 0;
@@ -192,13 +192,13 @@
     }
     if (attempt.state != AttemptState::recorded) return std::nullopt;
     if (!term_.lease_confirmed(now)) {
-        cluster_.wake_at(machine, now + kRetryAfterRefusal);
+        cluster_.schedule_check(machine, now + kRetryAfterRefusal);
         return std::nullopt;
     }
     if (!machine.confirmed() || job.state != jobs::JobState::open) return std::nullopt;
     if (job.is_gang() && !job.all_attempts_recorded()) return std::nullopt;
     if (job.is_gang() && waits_for_gang_images(job, machine)) {
-        cluster_.wake_at(machine, now + kRetryAfterUnknownOutcome);
+        cluster_.schedule_check(machine, now + kRetryAfterUnknownOutcome);
         return std::nullopt;
     }
     cluster_.attempt_start_sent(attempt, machine, now);
--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -74,7 +74,7 @@
     const bool healthy = machine.usable() && !machine.empty() &&
                          time_since_reached(machine, now) <
                              reachability_monitor_.unresponsive_timeout() - kCheckIntervalHealthy;
-    cluster_.wake_at(machine, now + (healthy ? kCheckIntervalHealthy : kCheckIntervalOther));
+    cluster_.schedule_check(machine, now + (healthy ? kCheckIntervalHealthy : kCheckIntervalOther));
     if (machine.state == MachineState::leased_out) return;
     if (machine.reserved_for != kNone && now >= machine.reserved_until)
         cluster_.release_reservation(machine);
--- a/src/lifecycle/job_lifecycle.cpp
+++ b/src/lifecycle/job_lifecycle.cpp
@@ -100,7 +100,7 @@
     if (is_over(job) && !job.commit_in_flight && job.delegated_shard == kNone)
         due = std::min(due, job.retry_commit_at);
     // Later than `now` in any case, so that processing the due jobs terminates.
-    if (due < kNever) cluster_.wake_at(job, std::max(due, now + 1));
+    if (due < kNever) cluster_.schedule_check(job, std::max(due, now + 1));
 }
 
 void JobLifecycle::run_due_jobs(Millis now) {
@@ -111,7 +111,7 @@
 
 void JobLifecycle::run_due_job(Job& job, Millis now) {
     if (!term_.lease_confirmed(now)) {
-        cluster_.wake_at(job, now + kRetryDelay);
+        cluster_.schedule_check(job, now + kRetryDelay);
         return;
     }
     if (job.backoff_until != 0 && now >= job.backoff_until) {
