--- a/src/autoscaling/intent_log.cpp
+++ b/src/autoscaling/intent_log.cpp
@@ -236,7 +236,7 @@
     Record& target = record(role);
     if (reply.status != kvstore::Status::refused) target.uncertain = true;
     if (reply.status != kvstore::Status::conflict || term_.check_superseded(reply)) return;
-    term_.note_rejected_role_fences(reply);
+    term_.clear_rejected_role_fences(reply);
     // Drops records of earlier terms that have changed or been deleted, for example by a delayed
     // write.
     std::erase_if(target.inherited_records, [&](const kvstore::Condition& inherited) {
--- a/src/cluster/term_context.cpp
+++ b/src/cluster/term_context.cpp
@@ -37,7 +37,7 @@
     return with_role;
 }
 
-void TermContext::note_rejected_role_fences(const kvstore::CommitReply& reply) {
+void TermContext::clear_rejected_role_fences(const kvstore::CommitReply& reply) {
     for (const std::string& key : reply.failed_conditions) {
         const auto role = lease::role_of_key(key);
         if (!role) continue;
--- a/src/cluster/term_context.h
+++ b/src/cluster/term_context.h
@@ -95,7 +95,7 @@
     [[nodiscard]] std::vector<kvstore::Condition> conditions(lease::Role role) const;
     /// Clears the fences of the roles whose conditions failed in the transaction, and notifies the
     /// gateway.
-    void note_rejected_role_fences(const kvstore::CommitReply& reply);
+    void clear_rejected_role_fences(const kvstore::CommitReply& reply);
 
   private:
     const wire::Settings& settings_;
--- a/src/sharding/shard_lease_writer.cpp
+++ b/src/sharding/shard_lease_writer.cpp
@@ -136,7 +136,7 @@
     }
     retry_at_ = now + kRetryDelay;
     if (reply.status == kvstore::Status::conflict && !term_.check_superseded(reply))
-        term_.note_rejected_role_fences(reply);
+        term_.clear_rejected_role_fences(reply);
 }
 
 }  // namespace nickelramp::sharding
