--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -108,7 +108,7 @@
     const bool inbound_only = machine.reachability == Reachability::inbound_only && in_use;
     const bool lost =
         unreached_for > lost_timeout() && machine.command_failures > 1 && !awaiting_takeover(now);
-    if (inbound_only || lost) failure_detector_.consider_giving_up(machine, now);
+    if (inbound_only || lost) failure_detector_.declare_lost_if_permitted(machine, now);
 }
 
 void MachineChecker::check_lease(Machine& machine, Millis now) {
--- a/src/failure/failure_detector.cpp
+++ b/src/failure/failure_detector.cpp
@@ -53,7 +53,7 @@
 
 // A single unresponsive machine has probably failed. Where many machines are unresponsive, their
 // tasks may still be running, and end when their leases expire.
-void FailureDetector::consider_giving_up(Machine& machine, Millis now) {
+void FailureDetector::declare_lost_if_permitted(Machine& machine, Millis now) {
     const Millis boot_time =
         machine.type == kNone ? 0 : seconds(cluster_.types()[machine.type].boot_s);
     if (!domains_.may_declare_lost(machine.zone, describe(machine), boot_time, now)) return;
--- a/src/failure/failure_detector.h
+++ b/src/failure/failure_detector.h
@@ -54,7 +54,7 @@
 
     /// Drains or releases a machine if its domain permits that now. The machine must have been
     /// unresponsive for long enough to be declared lost if it were the only one.
-    void consider_giving_up(machines::Machine& machine, Millis now);
+    void declare_lost_if_permitted(machines::Machine& machine, Millis now);
     /// Removes machines that are missing from the cloud's instance list, if the list is certainly
     /// newer than the one that showed them.
     /// @param asked_at when the list was requested.
