--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -60,7 +60,7 @@
     machine->up_at = started_at_;
     machine->lease_until = cluster_.inherited_leases_expire_at();
     cluster_.take_control(*machine, token,
-                          failure_detector_.expected_recovery_by(machine->zone, started_at_));
+                          failure_detector_.last_reached_at(machine->zone, started_at_));
     cluster_.set_machine_state(*machine, MachineState::joining);
 }
 
--- a/src/failure/failure_detector.cpp
+++ b/src/failure/failure_detector.cpp
@@ -76,7 +76,7 @@
     return unresponsive;
 }
 
-Millis FailureDetector::expected_recovery_by(Index zone, Millis otherwise) const {
+Millis FailureDetector::last_reached_at(Index zone, Millis otherwise) const {
     const auto lost = inherited_lost_since_.find(zone);
     return lost == inherited_lost_since_.end() ? otherwise : std::min(otherwise, lost->second);
 }
--- a/src/failure/failure_detector.h
+++ b/src/failure/failure_detector.h
@@ -66,7 +66,7 @@
     void expect_lost_zone(Index zone, Millis since) { inherited_lost_since_[zone] = since; }
     /// Returns when the zone's machines were last reached, as far as is known: `otherwise`, or
     /// earlier if the zone was lost for the previous leader.
-    [[nodiscard]] Millis expected_recovery_by(Index zone, Millis otherwise) const;
+    [[nodiscard]] Millis last_reached_at(Index zone, Millis otherwise) const;
     /// Returns the zones that are lost, to be reported to the next leader.
     [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const;
 
