--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -56,7 +56,7 @@
 /// running. Called by Controller, HeartbeatHandler and ShardHolder. `settings` and `gateway` must
 /// outlive it.
 ///
-/// Order of calls: set_machine_types, expect_lost_zone, load_shard, load_intents, load_job and
+/// Order of calls: set_machine_types, inherit_lost_zone, load_shard, load_intents, load_job and
 /// load_checkpoint, then start, then all other functions.
 class ControlLoop : private cluster::ClusterObserver,
                     private cluster::ControlActions,
@@ -76,8 +76,8 @@
     void load_shard(std::uint32_t shard_number, shards::Shard shard);
     /// Records that the previous leader has received nothing from the zone's machines since
     /// `since`. Called before load_shard().
-    void expect_lost_zone(const std::string& zone, Millis since) {
-        failure_detector_.expect_lost_zone(cluster_.intern_zone(zone), since);
+    void inherit_lost_zone(const std::string& zone, Millis since) {
+        failure_detector_.inherit_lost_zone(cluster_.intern_zone(zone), since);
     }
     /// Loads an open job.
     /// @param wall_ms the current time by the wall clock, which the record's acceptance time uses.
@@ -169,7 +169,7 @@
     [[nodiscard]] Millis max_response_window() const {
         return heartbeat_delegator_.response_window();
     }
-    /// Returns the zones that are lost. The next leader passes them to expect_lost_zone().
+    /// Returns the zones that are lost. The next leader passes them to inherit_lost_zone().
     [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const {
         return failure_detector_.lost_zones(now);
     }
--- a/src/controller/peer_coordinator.cpp
+++ b/src/controller/peer_coordinator.cpp
@@ -153,7 +153,7 @@
 }
 
 void PeerCoordinator::hand_over_lost_zones(control::ControlLoop& control_loop) {
-    for (const auto& [zone, since] : lost_zones_) control_loop.expect_lost_zone(zone, since);
+    for (const auto& [zone, since] : lost_zones_) control_loop.inherit_lost_zone(zone, since);
     lost_zones_.clear();
 }
 
--- a/src/failure/failure_detector.h
+++ b/src/failure/failure_detector.h
@@ -63,7 +63,7 @@
 
     /// Records that the zone was lost for the previous leader, which received no heartbeats from it
     /// since `since`.
-    void expect_lost_zone(Index zone, Millis since) { inherited_lost_since_[zone] = since; }
+    void inherit_lost_zone(Index zone, Millis since) { inherited_lost_since_[zone] = since; }
     /// Returns when the zone's machines were last reached, as far as is known: `otherwise`, or
     /// earlier if the zone was lost for the previous leader.
     [[nodiscard]] Millis last_reached_at(Index zone, Millis otherwise) const;
