--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -138,12 +138,12 @@
     shard_allocator_.on_peer_status(status, now);
 }
 
-std::vector<partition::AddressedDelegation> ControlLoop::heartbeat_delegations(Millis view_fresh,
-                                                                               Millis now) {
+std::vector<partition::AddressedDelegation> ControlLoop::heartbeat_delegations(
+    Millis cancellations_known_until, Millis now) {
     if (!term_.lease_confirmed(now)) return {};
-    return heartbeat_delegator_.delegations(term_.info().number,
-                                            shard_lease_writer_.table().highest_granted_token(),
-                                            shard_allocator_.active_tokens(), view_fresh, now);
+    return heartbeat_delegator_.delegations(
+        term_.info().number, shard_lease_writer_.table().highest_granted_token(),
+        shard_allocator_.active_tokens(), cancellations_known_until, now);
 }
 
 // --- a leased shard, the holder's side
--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -152,18 +152,18 @@
 
     void on_peer_status(const peers::Status& status, Millis now);
     /// Returns the grants to send now, by peer.
-    /// @param view_fresh the time up to which every cancellation is known.
-    [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(Millis view_fresh,
-                                                                       Millis now) {
-        return shard_allocator_.renewals(view_fresh, now);
+    /// @param cancellations_known_until the time up to which every cancellation is known.
+    [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(
+        Millis cancellations_known_until, Millis now) {
+        return shard_allocator_.renewals(cancellations_known_until, now);
     }
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now) {
         shard_allocator_.on_shard_status(shard_status, now);
     }
     /// Returns the heartbeat delegations to send now, by peer. There are none while the lease is
-    /// not confirmed. `view_fresh` is as in shard_renewals().
+    /// not confirmed. `cancellations_known_until` is as in shard_renewals().
     [[nodiscard]] std::vector<partition::AddressedDelegation> heartbeat_delegations(
-        Millis view_fresh, Millis now);
+        Millis cancellations_known_until, Millis now);
     /// Returns how long this leader and its partition responders may go on replying to heartbeats
     /// while they cannot learn of cancellations.
     [[nodiscard]] Millis max_response_window() const {
--- a/src/partition/heartbeat_delegator.cpp
+++ b/src/partition/heartbeat_delegator.cpp
@@ -50,7 +50,7 @@
 
 std::vector<AddressedDelegation> HeartbeatDelegator::delegations(
     std::uint64_t term, std::uint64_t highest_token,
-    const std::vector<std::uint64_t>& holder_tokens, Millis view_fresh, Millis now) {
+    const std::vector<std::uint64_t>& holder_tokens, Millis cancellations_known_until, Millis now) {
     std::vector<AddressedDelegation> addressed;
     for (auto& [peer, entry] : peers_) {
         if (now - entry.last_status_at > readiness::kPeerStatusLifetime) continue;
@@ -60,11 +60,12 @@
         delegation.incarnation = entry.incarnation;
         delegation.status_clock_ms = entry.clock_ms;
         delegation.clock_ms = static_cast<std::uint64_t>(now);
-        delegation.view_age_ms = static_cast<std::uint64_t>(std::max<Millis>(0, now - view_fresh));
+        delegation.view_age_ms =
+            static_cast<std::uint64_t>(std::max<Millis>(0, now - cancellations_known_until));
         delegation.response_window_ms = static_cast<std::uint64_t>(response_window());
         delegation.highest_token = highest_token;
         delegation.delegated_tokens = holder_tokens;
-        entry.view = std::max(entry.view, view_fresh);
+        entry.view = std::max(entry.view, cancellations_known_until);
         addressed.push_back({peer, std::move(delegation)});
     }
     return addressed;
--- a/src/partition/heartbeat_delegator.h
+++ b/src/partition/heartbeat_delegator.h
@@ -43,10 +43,11 @@
     /// Returns the delegations to send now, one to each peer that sent its status recently.
     /// @param highest_token the highest token granted so far.
     /// @param holder_tokens tokens of shards that are leased to other controllers.
-    /// @param view_fresh time up to which every cancellation is known here.
+    /// @param cancellations_known_until time up to which every cancellation is known here.
     [[nodiscard]] std::vector<AddressedDelegation> delegations(
         std::uint64_t term, std::uint64_t highest_token,
-        const std::vector<std::uint64_t>& holder_tokens, Millis view_fresh, Millis now);
+        const std::vector<std::uint64_t>& holder_tokens, Millis cancellations_known_until,
+        Millis now);
     /// Returns whether a lease that this leader's own replies extended until `lease_until` has
     /// expired, whatever partition responders did.
     [[nodiscard]] bool lease_expired(Millis lease_until, Millis now) const;
--- a/src/sharding/shard_allocator.cpp
+++ b/src/sharding/shard_allocator.cpp
@@ -140,13 +140,14 @@
     return true;
 }
 
-std::vector<AddressedGrant> ShardAllocator::renewals(Millis view_fresh, Millis now) {
+std::vector<AddressedGrant> ShardAllocator::renewals(Millis cancellations_known_until, Millis now) {
     std::vector<AddressedGrant> grants;
     if (!term_.lease_confirmed(now)) return grants;
     for (auto& [shard_number, lease] : leases_) {
         const shards::Shard& shard = lease_writer_.table().shard(shard_number);
         if (!may_renew(lease, shard, now)) continue;
-        grants.push_back({lease.holder, grant_for(shard_number, lease, shard, view_fresh, now)});
+        grants.push_back(
+            {lease.holder, grant_for(shard_number, lease, shard, cancellations_known_until, now)});
         lease.expires_at = now + with_clock_drift(kLeaseDuration);
     }
     return grants;
@@ -161,8 +162,8 @@
 }
 
 peers::ShardGrant ShardAllocator::grant_for(std::uint32_t shard_number, const ShardLease& lease,
-                                            const shards::Shard& shard, Millis view_fresh,
-                                            Millis now) const {
+                                            const shards::Shard& shard,
+                                            Millis cancellations_known_until, Millis now) const {
     peers::ShardGrant grant;
     grant.from = term_.settings().name;
     grant.term = term_.info().number;
@@ -173,7 +174,7 @@
     grant.incarnation = lease.incarnation;
     grant.status_clock_ms = peers_.at(lease.holder).clock_ms;
     grant.lease_ms = static_cast<std::uint64_t>(kLeaseDuration);
-    grant.view_age_ms = static_cast<std::uint64_t>(now - view_fresh);
+    grant.view_age_ms = static_cast<std::uint64_t>(now - cancellations_known_until);
     grant.machines = shard.members;
     for (const std::string& id : lease.jobs) {
         const Job* job = cluster_.job(id);
--- a/src/sharding/shard_allocator.h
+++ b/src/sharding/shard_allocator.h
@@ -117,8 +117,9 @@
     }
     /// Returns the grants to send now, one for each active lease whose record is committed. Each
     /// grant renews its lease for four seconds.
-    /// @param view_fresh time up to which this controller knows all cancellations.
-    [[nodiscard]] std::vector<AddressedGrant> renewals(Millis view_fresh, Millis now);
+    /// @param cancellations_known_until time up to which this controller knows all cancellations.
+    [[nodiscard]] std::vector<AddressedGrant> renewals(Millis cancellations_known_until,
+                                                       Millis now);
 
     // --- ending
 
@@ -162,8 +163,8 @@
     [[nodiscard]] bool may_renew(const ShardLease& lease, const shards::Shard& shard,
                                  Millis now) const;
     [[nodiscard]] peers::ShardGrant grant_for(std::uint32_t shard_number, const ShardLease& lease,
-                                              const shards::Shard& shard, Millis view_fresh,
-                                              Millis now) const;
+                                              const shards::Shard& shard,
+                                              Millis cancellations_known_until, Millis now) const;
 
     void set_lease_state(std::uint32_t shard_number, ShardLease& lease, ShardLeaseState state);
     void expire(std::uint32_t shard_number, ShardLease& lease, ShardExpiryReason reason);
