--- a/src/readiness/readiness.cpp
+++ b/src/readiness/readiness.cpp
@@ -22,7 +22,7 @@
             return "outage";
         case ReadinessState::rejected:
             return "refused";
-        case ReadinessState::cut_off:
+        case ReadinessState::store_unreachable:
             return "cut off";
     }
     return "?";
@@ -46,7 +46,7 @@
     if (outage_for_all) return ReadinessState::outage;
     // Either some peer is served, or no peer is reachable, in which case the fault is more likely
     // to be on this controller's side.
-    return rejected ? ReadinessState::rejected : ReadinessState::cut_off;
+    return rejected ? ReadinessState::rejected : ReadinessState::store_unreachable;
 }
 
 ReadinessState Readiness::update(bool machine_types_known, const kvstore::ServiceHealth& health,
--- a/src/readiness/readiness.h
+++ b/src/readiness/readiness.h
@@ -14,9 +14,10 @@
 /// outage:   the store serves no controller; users are told to retry, and health checks still pass,
 ///           so that none has to recover afterwards
 /// rejected: the store serves other controllers and rejects this one
-/// cut_off:  the store does not answer this controller, and it answers others or no peer is
+/// store_unreachable:  the store does not answer this controller, and it answers others or no peer
+/// is
 ///           reachable
-enum class ReadinessState { starting, serving, outage, rejected, cut_off };
+enum class ReadinessState { starting, serving, outage, rejected, store_unreachable };
 /// Returns the state's name on the administration pages and in the log.
 [[nodiscard]] const char* name(ReadinessState state);
 
--- a/tests/confirmed_reads_test.cpp
+++ b/tests/confirmed_reads_test.cpp
@@ -204,9 +204,9 @@
         {"all reachable rejected", rejecting, {not_served, lost}, ReadinessState::outage},
         {"rejected, peers lost", rejecting, {lost, lost}, ReadinessState::rejected},
         {"rejected, no status yet", rejecting, {}, ReadinessState::rejected},
-        {"unanswered alone", not_replying, {served, lost}, ReadinessState::cut_off},
+        {"unanswered alone", not_replying, {served, lost}, ReadinessState::store_unreachable},
         {"all unanswered", not_replying, {not_served, not_served}, ReadinessState::outage},
-        {"unanswered, peers lost", not_replying, {lost, lost}, ReadinessState::cut_off},
+        {"unanswered, peers lost", not_replying, {lost, lost}, ReadinessState::store_unreachable},
     };
     for (const Case& c : cases) {
         SCOPED_TRACE(c.description);
