--- a/src/forecast/demand_forecast.cpp
+++ b/src/forecast/demand_forecast.cpp
@@ -310,7 +310,7 @@
     return demand.empty_on_demand <= demand.whole_machines_wanted + soon;
 }
 
-double DemandForecast::expected_load_above(const Job& job, Millis now) {
+double DemandForecast::expected_higher_priority_load(const Job& job, Millis now) {
     double sum = 0;
     for (ClassStatistics& statistics : class_statistics_) {
         if (statistics.weight <= 0 || statistics.priority <= job.spec.priority) continue;
--- a/src/forecast/demand_forecast.h
+++ b/src/forecast/demand_forecast.h
@@ -109,7 +109,7 @@
     /// machine provisioned now could boot.
     [[nodiscard]] std::vector<std::uint32_t> slots_freed_soon() const;
     /// Returns the average CPU use of arrays with a higher priority than the job.
-    [[nodiscard]] double expected_load_above(const jobs::Job& job, Millis now);
+    [[nodiscard]] double expected_higher_priority_load(const jobs::Job& job, Millis now);
 
   private:
     template <typename FreesMachine>
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -127,7 +127,7 @@
                                 (job.spec.spot ? demand[type].array_capacity[1] : 0));
     }
     // Work of higher priority that is expected to arrive is served first.
-    const double load_above = demand_forecast_.expected_load_above(job, now);
+    const double load_above = demand_forecast_.expected_higher_priority_load(job, now);
     estimate.slots = std::max({1.0, slots - load_above / cpus, slots * kMinShare});
     estimate.run_s = std::max(kMinRunS, demand_forecast_.expected_run_s(job));
     return estimate;
