--- a/src/forecast/demand_forecast.cpp
+++ b/src/forecast/demand_forecast.cpp
@@ -303,7 +303,7 @@
 // Empty machines that gangs need now or within seconds are not given to tasks that can run on spot
 // machines, since those tasks would be preempted immediately. The number is limited to what gangs
 // can use. Otherwise a single gang waiting for its zone could keep thousands of machines empty.
-bool DemandForecast::keeps_empty_machine(Index type, Millis now) {
+bool DemandForecast::reserves_empty_machines(Index type, Millis now) {
     TypeDemand& demand = mutable_demand(type);
     const auto soon = static_cast<std::size_t>(
         demand.whole_machine_arrivals.deviation_within(kWholeMachineLookaheadS, now));
--- a/src/forecast/demand_forecast.h
+++ b/src/forecast/demand_forecast.h
@@ -97,7 +97,7 @@
     }
     /// Returns whether empty on-demand machines of the type are reserved for whole-machine tasks
     /// now.
-    [[nodiscard]] bool keeps_empty_machine(Index type, Millis now);
+    [[nodiscard]] bool reserves_empty_machines(Index type, Millis now);
     /// Returns how many unused on-demand machines are to be kept.
     [[nodiscard]] std::size_t wanted_spare_machines(Index type, Millis now);
     /// Returns how many machines are to be kept free for whole-machine tasks that cannot wait for a
--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -124,7 +124,7 @@
         rules_.reserved_for_replicas(job_, machine, wanted_replica_slots_))
         return false;
     if (machine.empty_on_demand && job_.spec.spot &&
-        forecast_.keeps_empty_machine(machine.type, now_))
+        forecast_.reserves_empty_machines(machine.type, now_))
         return false;
     return machine.reserved_for == kNone || now_ >= machine.reserved_until;
 }
--- a/src/scheduling/task_placement.cpp
+++ b/src/scheduling/task_placement.cpp
@@ -94,7 +94,7 @@
     if (job_.spec.one_zone && zone_ != kNone && machine.zone != zone_) return false;
     if (!zone_tasks_.allows_more_in(machine.zone)) return false;
     if (withheld_.withholds(machine.empty_on_demand && job_.spec.spot &&
-                            forecast_.keeps_empty_machine(machine.type, now_)))
+                            forecast_.reserves_empty_machines(machine.type, now_)))
         return false;
     return !withheld_.withholds(machine.replica_slots > 0 &&
                                 rules_.reserved_for_replicas(job_, machine, wanted_replica_slots_));
