--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -80,7 +80,7 @@
     }
     // Sockets must remain for user requests. A worker beyond the capacity is rejected and tries the
     // next controller.
-    const bool is_new = responder.classify(net::PeerKind::worker);
+    const bool is_new = responder.classify(net::ClientKind::worker);
     const double max_workers =
         static_cast<double>(balancer_.own_worker_capacity()) * kMaxOverbooking;
     if (!is_new || static_cast<double>(environment_.worker_sockets()) <= max_workers) return false;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -68,9 +68,9 @@
     }
 
     std::uint64_t last_active() const { return last_active_; }
-    PeerKind client() const { return client_; }
+    ClientKind client() const { return client_; }
 
-    bool set_client(PeerKind client) {
+    bool set_client(ClientKind client) {
         if (client_ == client) return false;
         server_->update_counts(client_, client);
         client_ = client;
@@ -190,7 +190,7 @@
     Request request_;
     std::string backlog_;
     std::string local_ip_;
-    PeerKind client_ = PeerKind::other;
+    ClientKind client_ = ClientKind::other;
     std::size_t header_bytes_ = 0;
     int error_status_ = 0;
     bool complete_ = false;
@@ -202,7 +202,7 @@
     if (auto c = connection_.lock()) c->send(response);
 }
 
-bool Responder::classify(PeerKind client) const {
+bool Responder::classify(ClientKind client) const {
     auto c = connection_.lock();
     return c && c->set_client(client);
 }
@@ -255,13 +255,13 @@
 }
 
 void HttpServer::remove_connection(Connection* c) {
-    update_counts(c->client(), PeerKind::other);
+    update_counts(c->client(), ClientKind::other);
     connections_.erase(c);
 }
 
-void HttpServer::update_counts(PeerKind before, PeerKind after) {
-    if (before == PeerKind::worker) --worker_connections_;
-    if (after == PeerKind::worker) ++worker_connections_;
+void HttpServer::update_counts(ClientKind before, ClientKind after) {
+    if (before == ClientKind::worker) --worker_connections_;
+    if (after == ClientKind::worker) ++worker_connections_;
 }
 
 }  // namespace nickelramp::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -40,7 +40,7 @@
 class Connection;
 
 /// The kind of client at the other end of a connection, as far as its requests have shown.
-enum class PeerKind { other, worker };
+enum class ClientKind { other, worker };
 
 /// Sends the response to one request, immediately or later. Does nothing if the connection is
 /// closed.
@@ -52,7 +52,7 @@
     void operator()(const Response& response) const { send(response); }
     /// Sets the kind of client that the connection is counted under. Returns whether it has
     /// changed.
-    bool classify(PeerKind client) const;
+    bool classify(ClientKind client) const;
 
   private:
     std::weak_ptr<Connection> connection_;
@@ -77,7 +77,7 @@
     friend class Connection;
     void accept();
     void remove_connection(Connection* c);
-    void update_counts(PeerKind before, PeerKind after);
+    void update_counts(ClientKind before, ClientKind after);
     void close_idle_connections();
 
     uv_loop_t* loop_;
