--- a/src/api/confirmed_reads.cpp
+++ b/src/api/confirmed_reads.cpp
@@ -24,7 +24,7 @@
     status.tasks = wire::count_field(record, "tasks").value_or(0);
     const auto final = wire::text_field(record, "final");
     for (auto candidate : {wire::JobStatus::done, wire::JobStatus::cancelled}) {
-        if (final == wire::final_name(candidate)) status.final = candidate;
+        if (final == wire::status_name(candidate)) status.final = candidate;
     }
     return status;
 }
--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -153,8 +153,8 @@
         if (!job) return;
         print(*job, job_text(*job));
         const auto status = wire::text_field(*job, "status");
-        const bool over = status == wire::final_name(wire::JobStatus::done) ||
-                          status == wire::final_name(wire::JobStatus::cancelled);
+        const bool over = status == wire::status_name(wire::JobStatus::done) ||
+                          status == wire::status_name(wire::JobStatus::cancelled);
         if (!over) watch();
     }
     // `left`: number of controllers left to ask, counting the one that gave this reply.
--- a/src/lifecycle/job_lifecycle.cpp
+++ b/src/lifecycle/job_lifecycle.cpp
@@ -161,7 +161,7 @@
         job.state == JobState::finishing ? wire::JobStatus::done : wire::JobStatus::cancelled;
     transaction.writes.push_back(
         {jobs::job_key(job.spec.id),
-         wire::Json{{"final", wire::final_name(status)}, {"tasks", job.spec.tasks}}});
+         wire::Json{{"final", wire::status_name(status)}, {"tasks", job.spec.tasks}}});
     transaction.writes.push_back({jobs::open_key(job.spec.id), std::nullopt});
     for (const auto& [number, chunk] : job.chunks) {
         if (chunk.version == 0 && !chunk.uncertain) continue;  // no record exists
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -141,6 +141,6 @@
     return answer;
 }
 
-const char* final_name(JobStatus status) { return name_of(kStatuses, status); }
+const char* status_name(JobStatus status) { return name_of(kStatuses, status); }
 
 }  // namespace nickelramp::wire
--- a/src/wire/job_messages.h
+++ b/src/wire/job_messages.h
@@ -72,6 +72,6 @@
 Json encode_job_answer(const std::string& id, JobStatus status,
                        const std::optional<TaskCounts>& counts = std::nullopt);
 /// Returns the name of a status in the protocol and in job records.
-const char* final_name(JobStatus status);
+const char* status_name(JobStatus status);
 
 }  // namespace nickelramp::wire
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -138,7 +138,7 @@
         if (status)
             out += "version " + std::to_string(status->version) + ", tasks " +
                    std::to_string(status->tasks) + ", final " +
-                   (status->final ? wire::final_name(*status->final) : "none") + "\n";
+                   (status->final ? wire::status_name(*status->final) : "none") + "\n";
         else
             out += "refused\n";
     }
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -158,9 +158,9 @@
     std::string names;
     for (JobStatus status :
          {JobStatus::pending, JobStatus::running, JobStatus::done, JobStatus::cancelled}) {
-        value(std::string("status ") + wire::final_name(status),
+        value(std::string("status ") + wire::status_name(status),
               wire::encode_job_answer("job-000412", status));
-        value(std::string("counts ") + wire::final_name(status),
+        value(std::string("counts ") + wire::status_name(status),
               wire::encode_job_answer("job-000412", status, {{100'000, 3}}));
     }
     using wire::ExitCause;
