--- a/emulator/user_emulator.cpp
+++ b/emulator/user_emulator.cpp
@@ -109,7 +109,7 @@
     std::uniform_real_distribution<double> spread(0.5, 1.5);
     const double run_s = s.shape == wire::Shape::service ? 0 : load_.run_s * spread(random_);
     s.estimate_s = run_s;
-    s.checkpoint_s = 15;
+    s.checkpoint_interval_s = 15;
     s.save_s = 1;
     rules_.submitted(std::move(s), run_s, now());
     ++counters_.submitted;
--- a/emulator/worker_emulator_tasks.cpp
+++ b/emulator/worker_emulator_tasks.cpp
@@ -88,7 +88,7 @@
     if (t == nullptr || t->phase == TaskPhase::exited) return;
     const EmulatedJob* job = rules_.find(command.job);
     const bool saves = t->phase == TaskPhase::running && job != nullptr &&
-                       job->spec.checkpoint_s > 0 && command.grace_s >= job->spec.save_s;
+                       job->spec.checkpoint_interval_s > 0 && command.grace_s >= job->spec.save_s;
     if (!saves) return exit_task(w, id, ExitCause::stopped, false);
     t->phase = TaskPhase::saving;
     schedule(w, seconds(job->spec.save_s), [this, id, attempt = command.attempt](Worker& same) {
--- a/src/cluster/cluster_attempt_ends.cpp
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -146,7 +146,7 @@
 
 void ClusterState::checkpoint_and_stop(Attempt& attempt, Millis now) {
     Job& job = job_of(attempt);
-    const double grace_s = job.spec.checkpoint_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
+    const double grace_s = job.spec.checkpoint_interval_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
     if (job.is_gang())
         stop_each_attempt(job, grace_s, now);
     else
@@ -156,7 +156,7 @@
 void ClusterState::drain_attempt(Attempt& attempt, Millis now) {
     Job& job = job_of(attempt);
     if (!attempt.live() || job.state != JobState::open) return;
-    if (job.is_service() || job.is_gang() || job.spec.checkpoint_s > 0)
+    if (job.is_service() || job.is_gang() || job.spec.checkpoint_interval_s > 0)
         checkpoint_and_stop(attempt, now);
 }
 
--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -162,7 +162,7 @@
         left_s = std::max(run_s - ran_s, kMinRemainingFraction * run_s);
     }
     const bool by_itself =
-        !job.is_service() && (job.spec.checkpoint_s <= 0 || left_s <= step.from_s);
+        !job.is_service() && (job.spec.checkpoint_interval_s <= 0 || left_s <= step.from_s);
     if (by_itself) {
         move.kind = MoveKind::runs_to_end;
         move.stops_s = move.restarts_s = left_s;
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -143,7 +143,7 @@
                 if (job.spec.spread && job.spec.tasks > 1 && whole) {
                     RC_ASSERT(n <= (job.spec.tasks + 1) / 2);
                 }
-                if (job.spec.one_zone && way == 2 && whole && job.spec.checkpoint_s > 0) {
+                if (job.spec.one_zone && way == 2 && whole && job.spec.checkpoint_interval_s > 0) {
                     RC_ASSERT(n == 0 || n == job.live_attempts);
                 }
             }
