--- a/emulator/user_emulator.cpp
+++ b/emulator/user_emulator.cpp
@@ -110,7 +110,7 @@
     const double run_s = s.shape == wire::Shape::service ? 0 : load_.run_s * spread(random_);
     s.estimate_s = run_s;
     s.checkpoint_interval_s = 15;
-    s.save_s = 1;
+    s.checkpoint_duration_s = 1;
     rules_.submitted(std::move(s), run_s, now());
     ++counters_.submitted;
     ++open_;
--- a/emulator/worker_emulator_tasks.cpp
+++ b/emulator/worker_emulator_tasks.cpp
@@ -88,14 +88,16 @@
     if (t == nullptr || t->phase == TaskPhase::exited) return;
     const EmulatedJob* job = rules_.find(command.job);
     const bool saves = t->phase == TaskPhase::running && job != nullptr &&
-                       job->spec.checkpoint_interval_s > 0 && command.grace_s >= job->spec.save_s;
+                       job->spec.checkpoint_interval_s > 0 &&
+                       command.grace_s >= job->spec.checkpoint_duration_s;
     if (!saves) return exit_task(w, id, ExitCause::stopped, false);
     t->phase = TaskPhase::saving;
-    schedule(w, seconds(job->spec.save_s), [this, id, attempt = command.attempt](Worker& same) {
-        Task* task = find(same, id, attempt);
-        if (task != nullptr && task->phase == TaskPhase::saving)
-            exit_task(same, id, ExitCause::stopped, true);
-    });
+    schedule(w, seconds(job->spec.checkpoint_duration_s),
+             [this, id, attempt = command.attempt](Worker& same) {
+                 Task* task = find(same, id, attempt);
+                 if (task != nullptr && task->phase == TaskPhase::saving)
+                     exit_task(same, id, ExitCause::stopped, true);
+             });
     report_soon(w);
 }
 
--- a/emulator/worker_messages.cpp
+++ b/emulator/worker_messages.cpp
@@ -87,7 +87,7 @@
                  {"standby", s.spot},
                  {"guess_s", s.estimate_s},
                  {"save_every_s", s.checkpoint_interval_s},
-                 {"save_cost_s", s.save_s},
+                 {"save_cost_s", s.checkpoint_duration_s},
                  {"due_s", nullptr}};
     return body;
 }
--- a/src/cluster/cluster_attempt_ends.cpp
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -146,7 +146,8 @@
 
 void ClusterState::checkpoint_and_stop(Attempt& attempt, Millis now) {
     Job& job = job_of(attempt);
-    const double grace_s = job.spec.checkpoint_interval_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
+    const double grace_s =
+        job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_duration_s + kSaveMarginS : 0;
     if (job.is_gang())
         stop_each_attempt(job, grace_s, now);
     else
--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -170,7 +170,8 @@
         return move;
     }
     move.kind = job.is_service() ? MoveKind::moves_elsewhere : MoveKind::checkpoints_and_moves;
-    move.stops_s = step.from_s + kStopOverheadS + (job.is_service() ? 0 : job.spec.save_s);
+    move.stops_s =
+        step.from_s + kStopOverheadS + (job.is_service() ? 0 : job.spec.checkpoint_duration_s);
     ZoneSpread& spread = spread_of(draft, job);
     if (machine.zone != kNone && spread.by_zone[machine.zone] > 0) --spread.by_zone[machine.zone];
     const Placement place = find_placement(draft, job, move.stops_s, now);
--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -219,8 +219,9 @@
             machine.attempts.end())
             continue;
         const Job& victim = cluster_.job_of(*attempt);
-        machine.reserved_until = std::max(
-            machine.reserved_until, now_ + seconds(victim.spec.save_s) + kReservationDuration);
+        machine.reserved_until =
+            std::max(machine.reserved_until,
+                     now_ + seconds(victim.spec.checkpoint_duration_s) + kReservationDuration);
         spdlog::debug("preempting task: task={}/{} machine={} for_job={}", victim.spec.id,
                       attempt->task, machine.name, job_.spec.id);
         cluster_.checkpoint_and_stop(*attempt, now_);
--- a/src/scheduling/stop_cost.h
+++ b/src/scheduling/stop_cost.h
@@ -20,7 +20,7 @@
 /// restart if its job writes checkpoints, otherwise its whole run time so far.
 inline double stop_cost_s(const jobs::Job& job, const jobs::Attempt& attempt, Millis now) {
     constexpr double kRestartS = 2;
-    if (job.spec.checkpoint_interval_s > 0) return job.spec.save_s + kRestartS;
+    if (job.spec.checkpoint_interval_s > 0) return job.spec.checkpoint_duration_s + kRestartS;
     return attempt.running_since == 0 ? 0
                                       : static_cast<double>(now - attempt.running_since) / 1000.0;
 }
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -125,7 +125,7 @@
     spec.spot = reader.flag(names::kSpot);
     spec.estimate_s = reader.amount(names::kEstimate);
     spec.checkpoint_interval_s = reader.amount(names::kCheckpointInterval);
-    spec.save_s = reader.amount(names::kCheckpointDuration);
+    spec.checkpoint_duration_s = reader.amount(names::kCheckpointDuration);
     if (reader.has(names::kDeadline)) spec.deadline_s = reader.amount(names::kDeadline);
     if (reader.error()) return *reader.error();
     return spec;
--- a/src/wire/job_messages.h
+++ b/src/wire/job_messages.h
@@ -41,7 +41,7 @@
     /// The user's estimate of a task's run time in seconds, or 0 if there is none.
     double estimate_s = 0;
     /// Interval between a task's checkpoints and duration of a checkpoint, in seconds.
-    double checkpoint_interval_s = 0, save_s = 0;
+    double checkpoint_interval_s = 0, checkpoint_duration_s = 0;
     /// Seconds after the submission.
     std::optional<double> deadline_s;
 };
--- a/tests/golden_samples.cpp
+++ b/tests/golden_samples.cpp
@@ -92,7 +92,7 @@
     out += line("image_gb", shown_number(job.image_gb));
     out += line("estimate_s", shown_number(job.estimate_s));
     out += line("checkpoint_s", shown_number(job.checkpoint_interval_s));
-    out += line("save_s", shown_number(job.save_s));
+    out += line("save_s", shown_number(job.checkpoint_duration_s));
     out += line("deadline_s", job.deadline_s ? shown_number(*job.deadline_s) : "(none)");
     return out;
 }
