--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -111,7 +111,8 @@
 std::optional<HeartbeatHandler::LocalReply> HeartbeatHandler::reply_for_leader(
     const wire::Heartbeat& heartbeat, const net::Request& request, Millis now) {
     if (!environment_.responds_for_leader(now)) return std::nullopt;
-    const std::uint64_t tag = responder_tag(Responder::deputy, partition_responder_.term());
+    const std::uint64_t tag =
+        responder_tag(Responder::partition_responder, partition_responder_.term());
     const bool follows = request.followed_reply_tag == tag;
     const auto token = partition_responder_.token_for_reply(heartbeat, follows, now);
     if (!token) return std::nullopt;
--- a/src/relay/responder_tag.h
+++ b/src/relay/responder_tag.h
@@ -9,8 +9,8 @@
 namespace nickelramp::relay {
 
 /// The parts of a controller that answer heartbeats: the leader's control loop, a shard holder, and
-/// a partition responder (`deputy`).
-enum class Responder : std::uint64_t { leader = 1, holder = 2, deputy = 3 };
+/// a partition responder (`partition_responder`).
+enum class Responder : std::uint64_t { leader = 1, holder = 2, partition_responder = 3 };
 
 /// Returns the tag of a reply. It is never 0, which stands for no reply.
 /// @param fence The term of the leader or partition responder, or the shard holder's token.
