--- a/src/control/command_sender.h
+++ b/src/control/command_sender.h
@@ -38,12 +38,12 @@
     /// All references must outlive the sender.
     CommandSender(cluster::TermContext& term, cluster::ClusterState& cluster,
                   cluster::ControlActions& actions,
-                  const failure::FailureDetector& failure_detector, Listener& observer)
+                  const failure::FailureDetector& failure_detector, Listener& listener)
         : term_(term),
           cluster_(cluster),
           actions_(actions),
           failure_detector_(failure_detector),
-          listener_(observer) {}
+          listener_(listener) {}
 
     /// Adds the machine to the queue that send_queued() processes.
     void queue(machines::Machine& machine);
