--- a/src/roles/role_assigner.cpp
+++ b/src/roles/role_assigner.cpp
@@ -183,7 +183,7 @@
     if (is_leading() && state(role) == RoleState::held_here) write_transfer(role, to);
 }
 
-void RoleAssigner::take_back(lease::Role role) {
+void RoleAssigner::transfer_back(lease::Role role) {
     if (!is_leading() || state(role) != RoleState::held_elsewhere) return;
     entry(role).taken_back_fence = fence(role);
     write_transfer(role, own_record());
--- a/src/roles/role_assigner.h
+++ b/src/roles/role_assigner.h
@@ -74,9 +74,9 @@
     /// Moves a role that this controller holds to another controller's lease.
     void transfer(lease::Role role, const lease::RoleRecord& to);
     /// Transfers the role back to this leader from a holder whose assignments have expired.
-    void take_back(lease::Role role);
+    void transfer_back(lease::Role role);
     /// Returns whether the role may be assigned to the other controller that holds it. It may not
-    /// once take_back() was called for the current fence. That transaction may still be applied
+    /// once transfer_back() was called for the current fence. That transaction may still be applied
     /// late, and then both this leader and the holder would act under the role.
     [[nodiscard]] bool may_assign(lease::Role role) const {
         return state(role) == RoleState::held_elsewhere &&
@@ -117,8 +117,9 @@
         RoleState state = RoleState::unknown;
         lease::RoleRecord record;
         std::uint64_t fence = 0;
-        std::uint64_t taken_back_fence = 0;    // fence at which take_back() was called in this term
-        Millis read_at = 0;                    // earliest time at which the record is read again
+        std::uint64_t taken_back_fence =
+            0;               // fence at which transfer_back() was called in this term
+        Millis read_at = 0;  // earliest time at which the record is read again
         std::uint64_t unreadable_version = 0;  // last version that was logged as invalid
     };
     Entry& entry(lease::Role role) { return entries_[static_cast<std::size_t>(role)]; }
--- a/src/roles/role_manager.cpp
+++ b/src/roles/role_manager.cpp
@@ -121,7 +121,7 @@
         // that nobody acts under the role even if its holder is unreachable.
         const Millis all_expired_at =
             with_clock_drift(kAssignmentDuration) + std::max(sent_at, leading_since_);
-        if (!keep && now > all_expired_at) assigner_.take_back(role);
+        if (!keep && now > all_expired_at) assigner_.transfer_back(role);
     }
 }
 
--- a/tests/golden_transactions_test.cpp
+++ b/tests/golden_transactions_test.cpp
@@ -238,7 +238,7 @@
     ASSERT_EQ(sent.size(), 2u);
     transaction("given away", sent[1]);
     answers[1](1020, committed(81));
-    keeper.take_back(Role::garbage_collection);
+    keeper.transfer_back(Role::garbage_collection);
     ASSERT_EQ(sent.size(), 3u);
     transaction("taken back", sent[2]);
 }
