--- a/src/roles/helper_lease.cpp
+++ b/src/roles/helper_lease.cpp
@@ -26,7 +26,7 @@
     : store_(store), on_lost_(std::move(on_lost)), validity_(lease::kLeaseDuration) {}
 
 void HelperLease::run_due_work(Millis now) {
-    if (state_ == State::held && now >= keep_until_) give_up(EndReason::not_needed);
+    if (state_ == State::held && now >= keep_until_) release(EndReason::not_needed);
     if (now < renew_at_) return;
     if (state_ == State::none && now < keep_until_)
         acquire(now);
@@ -34,7 +34,7 @@
         renew(now);
 }
 
-void HelperLease::give_up(EndReason reason) {
+void HelperLease::release(EndReason reason) {
     if (state_ == State::held) store_.revoke_lease(lease_id_);
     forget(reason);
 }
--- a/src/roles/helper_lease.h
+++ b/src/roles/helper_lease.h
@@ -26,7 +26,7 @@
     /// Acquires, renews or revokes the lease, whichever is due.
     void run_due_work(Millis now);
     /// Revokes the lease if it is held, and ends its use.
-    void give_up(EndReason reason);
+    void release(EndReason reason);
 
     /// Returns the id of the lease, or 0 if none is held.
     [[nodiscard]] std::uint64_t id() const { return lease_id_; }
--- a/src/roles/role_manager.cpp
+++ b/src/roles/role_manager.cpp
@@ -60,7 +60,7 @@
 void RoleManager::start_leading(std::uint64_t term, kvstore::Condition condition,
                                 std::uint64_t lease_id, Millis now) {
     // Roles attached to the helper lease become vacant.
-    helper_lease_.give_up(HelperLease::EndReason::became_leader);
+    helper_lease_.release(HelperLease::EndReason::became_leader);
     term_ = term;
     leading_since_ = now;
     helper_.clear();
