--- a/emulator/state_service_emulator.cpp
+++ b/emulator/state_service_emulator.cpp
@@ -161,8 +161,8 @@
             keys_.erase(key);
         changed(key);
     }
-    if (swallow_next)
-        swallow_next = false;
+    if (drop_next_reply)
+        drop_next_reply = false;
     else
         reply(responder, 200, {{"epoch", revision_}});
     answer_watches();
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -242,7 +242,7 @@
 
 TEST_F(JobRequestsOnLoopback, AnUnknownTransactionOutcomeIsAnsweredWithRetryLater) {
     std::string body = wire::encode(test::job("job-1", "sweep", 2, 1));
-    emulator.swallow_next = true;
+    emulator.drop_next_reply = true;
     // The write is applied, but its reply is lost.
     EXPECT_EQ(ask(user, "POST", "/work", body).status, 503);
     EXPECT_EQ(ask(user, "POST", "/work", body).status, 200);
