--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -44,7 +44,7 @@
   public:
     Program(uv_loop_t* loop, const Config& config, const Command& command, std::ostream& out,
             std::ostream& err)
-        : asker_(loop, config, std::random_device{}()),
+        : client_(loop, config, std::random_device{}()),
           command_(command),
           repeat_timer_(loop, [this] { begin(); }),
           out_(out),
@@ -59,7 +59,7 @@
     // answers.
     void status(Formatter text) {
         send_repeatable("GET", "/admin/status", "", [this, text](const ControllerReply& a) {
-            on_status(a, text, asker_.controllers());
+            on_status(a, text, client_.controllers());
         });
     }
     void settings() { send_repeatable("GET", kSettings, "", text_answer(settings_text)); }
@@ -78,7 +78,7 @@
         send_repeatable("GET", plan_path(), "", [this](const ControllerReply& a) { on_plan(a); });
     }
     void list_plans() { send_repeatable("GET", drain::kPlansPath, "", text_answer(plans_text)); }
-    bool busy() const { return repeat_pending_ || !asker_.idle(); }
+    bool busy() const { return repeat_pending_ || !client_.idle(); }
     int code() const { return exit_code_; }
 
   private:
@@ -86,7 +86,7 @@
     void send_repeatable(std::string method, std::string target, std::string body,
                          ControllerClient::Done done) {
         send_request_ = [this, method, target, body, done] {
-            asker_.request(method, target, body, done);
+            client_.request(method, target, body, done);
         };
         begin();
     }
@@ -170,7 +170,7 @@
             return;
         }
         // This controller is not the leader. Asks the next one.
-        asker_.request(
+        client_.request(
             "GET", "/admin/status", "",
             [this, text, left, show](const ControllerReply& other) {
                 if (other.answered && other.status < 400)
@@ -178,7 +178,7 @@
                 else
                     show();
             },
-            (a.controller + 1) % asker_.controllers());
+            (a.controller + 1) % client_.controllers());
     }
     void on_plan(const ControllerReply& a) {
         auto page = read(a);
@@ -196,15 +196,15 @@
             for (Json& step : (*page)["steps"]) plan_["steps"].push_back(std::move(step));
         }
         if (next) {
-            asker_.request("GET", plan_path() + "?from=" + std::to_string(*next), "",
-                           [this](const ControllerReply& more) { on_plan(more); });
+            client_.request("GET", plan_path() + "?from=" + std::to_string(*next), "",
+                            [this](const ControllerReply& more) { on_plan(more); });
             return;
         }
         plan_.erase("next");
         print(plan_, plan_text(plan_, command_.moves));
         if (state == "refused") exit_code_ = kExitRejected;
     }
-    ControllerClient asker_;
+    ControllerClient client_;
     const Command& command_;
     net::Timer repeat_timer_;
     std::ostream& out_;
