--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -71,7 +71,7 @@
     void make_plan(const Json& request) {
         send_repeatable("POST", drain::kPlansPath, request.dump(),
                         [this](const ControllerReply& a) {
-                            if (fine(a)) show_plan();
+                            if (check_reply(a)) show_plan();
                         });
     }
     void show_plan() {
@@ -111,7 +111,7 @@
         };
     }
     // Returns whether the reply is a success. Otherwise prints the error and sets the exit code.
-    bool fine(const ControllerReply& a) {
+    bool check_reply(const ControllerReply& a) {
         if (!a.answered) {
             err_ << "no controller has answered (" << a.attempts << " tries)";
             if (a.reached_controller)
@@ -137,7 +137,7 @@
     // Returns the map in the body, CBOR from the user API or JSON from the administration API.
     // Otherwise prints the error, sets the exit code and returns nothing.
     std::optional<Json> read(const ControllerReply& a) {
-        if (!fine(a)) return std::nullopt;
+        if (!check_reply(a)) return std::nullopt;
         if (auto map = wire::decode_map(a.body)) return map;
         Json body = Json::parse(a.body, nullptr, false);
         if (body.is_object()) return body;
