--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -14,8 +14,8 @@
 namespace {
 constexpr double kMaxGiveUpS = 3600;
 
-[[noreturn]] void wrong(const std::string& name, const toml::source_region& at,
-                        const std::string& what) {
+[[noreturn]] void throw_config_error(const std::string& name, const toml::source_region& at,
+                                     const std::string& what) {
     throw std::runtime_error(name + ":" + std::to_string(at.begin.line) + ": " + what);
 }
 
@@ -33,27 +33,31 @@
     try {
         table = toml::parse(text, name);
     } catch (const toml::parse_error& e) {
-        wrong(name, e.source(), std::string(e.description()));
+        throw_config_error(name, e.source(), std::string(e.description()));
     }
     Config out;
     for (const auto& [key, value] : table) {
         if (key == "controllers") {
             const toml::array* list = value.as_array();
-            if (list == nullptr) wrong(name, value.source(), "controllers must be a list");
+            if (list == nullptr)
+                throw_config_error(name, value.source(), "controllers must be a list");
             for (const toml::node& n : *list) {
                 const auto address = n.value<std::string>();
                 if (!address || !net::parse_address(*address)) {
-                    wrong(name, n.source(), "controllers must be like \"10.0.0.1:8080\"");
+                    throw_config_error(name, n.source(),
+                                       "controllers must be like \"10.0.0.1:8080\"");
                 }
                 out.controllers.push_back(*address);
             }
         } else if (key == "give_up_s") {
             out.give_up_s = value.value<double>().value_or(0);
             if (!(out.give_up_s >= 1 && out.give_up_s <= kMaxGiveUpS)) {
-                wrong(name, value.source(), "give_up_s must be a number from 1 to 3600");
+                throw_config_error(name, value.source(),
+                                   "give_up_s must be a number from 1 to 3600");
             }
         } else {
-            wrong(name, value.source(), "unknown field '" + std::string(key.str()) + "'");
+            throw_config_error(name, value.source(),
+                               "unknown field '" + std::string(key.str()) + "'");
         }
     }
     if (out.controllers.empty())
