--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -22,7 +22,7 @@
 }
 
 // Puts a blank line before the text.
-std::string below(const std::string& text) { return fmt::format("\n{}", text); }
+std::string after_blank_line(const std::string& text) { return fmt::format("\n{}", text); }
 
 const Json& array_field(const Json& map, const char* name) {
     static const Json none = Json::array();
@@ -91,11 +91,11 @@
         machines != nullptr && machines->is_object()) {
         std::vector<std::vector<std::string>> rows;
         for (const auto& [state, n] : machines->items()) rows.push_back({state, n.dump()});
-        if (!rows.empty()) out += below(table({"machines", "number"}, rows));
+        if (!rows.empty()) out += after_blank_line(table({"machines", "number"}, rows));
     }
     if (!array_field(*book, "waiting").empty()) {
-        out += below(rows_of(array_field(*book, "waiting"),
-                             {"id", "class", "team", "tasks", "for_s", "why"}));
+        out += after_blank_line(rows_of(array_field(*book, "waiting"),
+                                        {"id", "class", "team", "tasks", "for_s", "why"}));
     }
     return out;
 }
@@ -130,19 +130,21 @@
         }
     }
     if (!steps.empty()) {
-        out +=
-            below(table({"machine", "type", "zone", "wave", "tasks", "from_s", "empty_s"}, steps));
+        out += after_blank_line(
+            table({"machine", "type", "zone", "wave", "tasks", "from_s", "empty_s"}, steps));
     }
     if (moves && !tasks.empty()) {
-        out += below(
+        out += after_blank_line(
             table({"machine", "task", "how", "to", "leaves_s", "back_s", "ends_s", "seen"}, tasks));
     }
     if (!array_field(plan, "hires").empty()) {
-        out += below(rows_of(array_field(plan, "hires"), {"type", "zone", "count", "price"}));
+        out += after_blank_line(
+            rows_of(array_field(plan, "hires"), {"type", "zone", "count", "price"}));
     }
     if (!array_field(plan, "refusals").empty()) {
-        out += below(rows_of(array_field(plan, "refusals"),
-                             {"job", "task", "machine", "due_s", "ends_s", "why", "instead"}));
+        out += after_blank_line(
+            rows_of(array_field(plan, "refusals"),
+                    {"job", "task", "machine", "due_s", "ends_s", "why", "instead"}));
     }
     for (const Json& name : array_field(plan, "passed_over")) {
         if (name.is_string()) out += "passed over: " + name.get<std::string>() + "\n";
