--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -44,12 +44,12 @@
 
 std::string table(const std::vector<std::string>& head,
                   const std::vector<std::vector<std::string>>& rows) {
-    std::vector<std::size_t> wide;
+    std::vector<std::size_t> widths;
     std::vector<char> right(head.size(), 1);
-    for (const std::string& h : head) wide.push_back(h.size());
+    for (const std::string& h : head) widths.push_back(h.size());
     for (const auto& row : rows) {
         for (std::size_t i = 0; i < head.size(); ++i) {
-            wide[i] = std::max(wide[i], row[i].size());
+            widths[i] = std::max(widths[i], row[i].size());
             if (!number(row[i]) && row[i] != "-") right[i] = 0;
         }
     }
@@ -57,8 +57,8 @@
     auto line = [&](const std::vector<std::string>& row) {
         std::string text;
         for (std::size_t i = 0; i < head.size(); ++i) {
-            text += right[i] != 0 ? fmt::format("{:>{}}", row[i], wide[i])
-                                  : fmt::format("{:<{}}", row[i], wide[i]);
+            text += right[i] != 0 ? fmt::format("{:>{}}", row[i], widths[i])
+                                  : fmt::format("{:<{}}", row[i], widths[i]);
             text += "  ";
         }
         text.erase(text.find_last_not_of(' ') + 1);
