--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -159,13 +159,13 @@
 }
 
 std::string error_text(int status, const std::string& body) {
-    Json said = Json::parse(body, nullptr, false);
-    if (!said.is_object()) said = wire::decode_map(body).value_or(Json::object());
+    Json answer = Json::parse(body, nullptr, false);
+    if (!answer.is_object()) answer = wire::decode_map(body).value_or(Json::object());
     std::string out = fmt::format("the service says {}", status);
-    if (wire::field(said, "error") != nullptr) out += ": " + cell(said, "error");
+    if (wire::field(answer, "error") != nullptr) out += ": " + cell(answer, "error");
     for (const char* name : {"field", "least", "most"}) {
-        if (wire::field(said, name) != nullptr)
-            out += fmt::format(", {} {}", name, cell(said, name));
+        if (wire::field(answer, name) != nullptr)
+            out += fmt::format(", {} {}", name, cell(answer, name));
     }
     return out + "\n";
 }
