--- a/src/ctl/retry_policy.cpp
+++ b/src/ctl/retry_policy.cpp
@@ -16,16 +16,16 @@
 
 RetryPolicy::Next RetryPolicy::next_after(const net::ClientReply& reply, Millis now) {
     ++attempts_;
-    const bool nobody = reply.outcome == net::ClientReply::Outcome::refused;
-    if (!nobody) reached_controller_ = true;
+    const bool connection_refused = reply.outcome == net::ClientReply::Outcome::refused;
+    if (!connection_refused) reached_controller_ = true;
     if (reply.outcome == net::ClientReply::Outcome::answered && is_final_status(reply.status)) {
         return Next::answer;
     }
     controller_ = (controller_ + 1) % controllers_;
-    refusals_ = nobody ? refusals_ + 1 : 0;
+    refusals_ = connection_refused ? refusals_ + 1 : 0;
     // After a refused connection, tries the next controller without a pause. Pauses once all
     // controllers have refused in a row.
-    if (nobody && refusals_ % controllers_ != 0) {
+    if (connection_refused && refusals_ % controllers_ != 0) {
         retry_at_ = now;
     } else {
         retry_at_ = now + std::max(kPause, seconds(std::min(reply.retry_after_s, kMaxRetryAfterS)));
