--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -21,7 +21,7 @@
 // A task is assumed to need at least this share of its forecast run time, also past the forecast.
 constexpr double kMinRemainingFraction = 0.1;
 
-double since(Millis then, Millis now) { return static_cast<double>(now - then) / 1000.0; }
+double seconds_since(Millis then, Millis now) { return static_cast<double>(now - then) / 1000.0; }
 }  // namespace
 
 Planner::RequestResult Planner::request_plan(const Request& request) {
@@ -158,7 +158,8 @@
     double left_s = 0;  // remaining run time when the plan begins
     if (!job.is_service()) {
         const double run_s = forecast_.expected_run_s(job);
-        const double ran_s = attempt.running_since == 0 ? 0 : since(attempt.running_since, now);
+        const double ran_s =
+            attempt.running_since == 0 ? 0 : seconds_since(attempt.running_since, now);
         left_s = std::max(run_s - ran_s, kMinRemainingFraction * run_s);
     }
     const bool by_itself =
@@ -360,7 +361,7 @@
         }
         return;
     }
-    const double age_s = since(job.accepted_at, now);
+    const double age_s = seconds_since(job.accepted_at, now);
     auto late = [&](double due_s) { return undisturbed_s <= due_s && *move.ends_s > due_s; };
     if (job.spec.deadline_s && late(*job.spec.deadline_s - age_s)) {
         against("it would miss its deadline", *job.spec.deadline_s - age_s);
