--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -103,17 +103,17 @@
                            [](const auto& d) { return d->plan.state == PlanState::planning; });
     if (it == drafts_.end()) return 0;
     Draft& draft = **it;
-    std::size_t looked = 0;
-    while (looked < kTasksPerTurn && draft.next < draft.queue.size()) {
+    std::size_t examined = 0;
+    while (examined < kTasksPerTurn && draft.next < draft.queue.size()) {
         const auto& [index, name] = draft.queue[draft.next++];
-        ++looked;
+        ++examined;
         if (Machine* machine = cluster_.machine_by_index(index))
-            looked += plan_machine(draft, *machine, now);
+            examined += plan_machine(draft, *machine, now);
         else
             draft.plan.skipped_machines.push_back(name + ": it has gone meanwhile");
     }
     if (draft.next == draft.queue.size()) finish(draft);
-    return looked;
+    return examined;
 }
 
 std::size_t Planner::plan_machine(Draft& draft, Machine& machine, Millis now) {
