--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -340,7 +340,7 @@
         instead = "later, when its image is on more machines";
     else
         instead = fmt::format("later: its task ends by itself in about {:.0f} s", undisturbed_s);
-    auto against = [&](std::string why, std::optional<double> due_s) {
+    auto add = [&](std::string why, std::optional<double> due_s) {
         add_violation(draft, {move.job, move.task, machine.name, std::move(why), instead, due_s,
                               move.ends_s});
     };
@@ -353,8 +353,7 @@
         }
         const double away_s = move.restarts_s - move.stops_s + kStopOverheadS;
         if (objective_s > 0 && away_s > objective_s) {
-            against(
-                fmt::format("a replica would be away for {:.0f} s, its class is promised a start "
+            add(fmt::format("a replica would be away for {:.0f} s, its class is promised a start "
                             "within {:.0f} s",
                             away_s, objective_s),
                 {});
@@ -364,14 +363,14 @@
     const double age_s = seconds_since(job.accepted_at, now);
     auto late = [&](double due_s) { return undisturbed_s <= due_s && *move.ends_s > due_s; };
     if (job.spec.deadline_s && late(*job.spec.deadline_s - age_s)) {
-        against("it would miss its deadline", *job.spec.deadline_s - age_s);
+        add("it would miss its deadline", *job.spec.deadline_s - age_s);
         return;
     }
     for (const wire::Objective& objective : term_.settings().objectives) {
         if (objective.kind != Kind::finished || objective.job_class != job.spec.job_class) continue;
         if (!late(objective.within_s - age_s)) continue;
-        against(fmt::format("its class is promised an end within {:.0f} s", objective.within_s),
-                objective.within_s - age_s);
+        add(fmt::format("its class is promised an end within {:.0f} s", objective.within_s),
+            objective.within_s - age_s);
         return;
     }
 }
