--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -92,10 +92,10 @@
 struct CtlOnLoopback : testing::Test {
     test::CtlService service{kThere};
     std::vector<net::Response>& answers = service.answers;
-    std::string said, err_output;
+    std::string output, err_output;
     int ctl(const std::vector<std::string>& arguments, const std::string& input = "") {
         const test::CtlRun run = service.run(arguments, input);
-        said = run.out;
+        output = run.out;
         err_output = run.err;
         return run.exit_code;
     }
@@ -117,7 +117,7 @@
     const std::string job = test::job("job-5", "sweep", 2, 0).dump();
     EXPECT_EQ(ctl({"--controller", kNowhere, "--controller", kThere, "submit", "-"}, job),
               ctl::kExitOk);
-    EXPECT_EQ(said, "job-5 is pending\n");
+    EXPECT_EQ(output, "job-5 is pending\n");
     EXPECT_EQ(asked(), (std::vector<std::string>{"POST /work", "POST /work"}));
 }
 
@@ -134,7 +134,7 @@
                cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::done, {{3, 0}}))};
     EXPECT_EQ(ctl({"--controller", kThere, "show", "job-5", "--watch", "0.1"}), ctl::kExitOk);
     EXPECT_EQ(
-        said,
+        output,
         "job-5 is running, 1 tasks done, 2 running\njob-5 is done, 3 tasks done, 0 running\n");
 }
 
@@ -156,7 +156,7 @@
     answers = {{200, follower.dump(), 0, "application/json"},
                {200, leader.dump(), 0, "application/json"}};
     EXPECT_EQ(ctl({"--controller", kThere, "--controller", kThere, "late"}), ctl::kExitOk);
-    EXPECT_EQ(said,
+    EXPECT_EQ(output,
               "id     class  objective  within_s  left_s  why\n"
               "job-9  train  finish           60    -2.5  allowed machines are full\n");
     EXPECT_EQ(asked().size(), 2u);
@@ -194,7 +194,7 @@
     EXPECT_EQ(
         ctl({"--controller", kThere, "plan", "make", "--machine", "m-1", "--machine", "m-2", "up"}),
         ctl::kExitRejected);
-    EXPECT_EQ(said,
+    EXPECT_EQ(output,
               "plan up is refused: 2 machines, empty after 7.5 s, costs 0 more\n\n"
               "machine  type  zone  wave  tasks  from_s  empty_s\n"
               "m-1      g4    a        0      0       0        4\n"
