--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -34,8 +34,8 @@
                                   ClientReply::Outcome::unknown);
             reply.status = *rc::gen::element(200, 201, 400, 404, 409, 422, 429, 500, 503, 504);
             reply.retry_after_s = *rc::gen::element(0, 1, 7, 1000);
-            const std::size_t asked = t.controller();
-            RC_ASSERT(asked < n);
+            const std::size_t requested = t.controller();
+            RC_ASSERT(requested < n);
             const RetryPolicy::Next next = t.next_after(reply, now);
             RC_ASSERT(t.attempts() == ++made);
             const bool there = reply.outcome != ClientReply::Outcome::refused;
@@ -52,7 +52,7 @@
                 RC_ASSERT(pause >= 1'000 && pause <= 30'000 &&
                           (reply.retry_after_s > 30 || pause >= reply.retry_after_s * 1'000));
             if (next == RetryPolicy::Next::give_up) return;
-            RC_ASSERT(n == 1 || t.controller() != asked);
+            RC_ASSERT(n == 1 || t.controller() != requested);
             now = t.retry_at() + (there ? 10 : 0);
         }
     }));
@@ -100,7 +100,7 @@
         return run.exit_code;
     }
     // Returns method and path of each request.
-    std::vector<std::string> asked() const {
+    std::vector<std::string> requested() const {
         std::vector<std::string> lines;
         for (const net::Request& request : service.requests)
             lines.push_back(request.method + " " + request.path);
@@ -118,7 +118,7 @@
     EXPECT_EQ(ctl({"--controller", kNowhere, "--controller", kThere, "submit", "-"}, job),
               ctl::kExitOk);
     EXPECT_EQ(output, "job-5 is pending\n");
-    EXPECT_EQ(asked(), (std::vector<std::string>{"POST /work", "POST /work"}));
+    EXPECT_EQ(requested(), (std::vector<std::string>{"POST /work", "POST /work"}));
 }
 
 TEST_F(CtlOnLoopback, PassesOnRejectionsOfTheService) {
@@ -126,7 +126,7 @@
     const std::string job = test::job("job-5", "sweep", 2, 0).dump();
     EXPECT_EQ(ctl({"--controller", kThere, "submit", "-"}, job), ctl::kExitRejected);
     EXPECT_EQ(err_output, "the service says 422: unknown team\n");
-    EXPECT_EQ(asked().size(), 1u);
+    EXPECT_EQ(requested().size(), 1u);
 }
 
 TEST_F(CtlOnLoopback, WatchesAJobUntilItFinishes) {
@@ -159,7 +159,7 @@
     EXPECT_EQ(output,
               "id     class  objective  within_s  left_s  why\n"
               "job-9  train  finish           60    -2.5  allowed machines are full\n");
-    EXPECT_EQ(asked().size(), 2u);
+    EXPECT_EQ(requested().size(), 2u);
 }
 
 // A plan is requested until the leader answers, polled until it is complete, and read page by page.
@@ -201,9 +201,9 @@
               "m-2      g4    a        0      0       0      7.5\n\n"
               "job    task  machine  due_s  ends_s  why                         instead\n"
               "job-1     0  m-1         30    40.5  it would miss its deadline  later\n");
-    EXPECT_EQ(asked(), (std::vector<std::string>{"POST /admin/plans", "POST /admin/plans",
-                                                 "GET /admin/plans/up", "GET /admin/plans/up",
-                                                 "GET /admin/plans/up"}));
+    EXPECT_EQ(requested(), (std::vector<std::string>{"POST /admin/plans", "POST /admin/plans",
+                                                     "GET /admin/plans/up", "GET /admin/plans/up",
+                                                     "GET /admin/plans/up"}));
 }
 
 TEST_F(CtlOnLoopback, ReportsThatNoControllerAnswers) {
@@ -230,7 +230,7 @@
             << (words.empty() ? "" : words.back());
         EXPECT_FALSE(err_output.empty());
     }
-    EXPECT_TRUE(asked().empty());
+    EXPECT_TRUE(requested().empty());
 }
 
 }  // namespace
