--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -85,10 +85,10 @@
             p.run(p.add_job(spec, 1000), 1000);
         }
         Json request = {{"id", "up-1"}};
-        const int way = *rc::gen::inRange(0, 3);
-        if (way == 0) request["zone"] = *rc::gen::element("a", "b");
-        if (way == 1) request["type"] = *rc::gen::element("g4", "plain");
-        if (way == 2) request["all"] = true;
+        const int selection = *rc::gen::inRange(0, 3);
+        if (selection == 0) request["zone"] = *rc::gen::element("a", "b");
+        if (selection == 1) request["type"] = *rc::gen::element("g4", "plain");
+        if (selection == 2) request["all"] = true;
         const auto at_once = *rc::gen::inRange(1u, 5u);
         request["at_once"] = at_once;
         std::vector<double> before;
@@ -102,8 +102,8 @@
             RC_ASSERT(++wave[s.wave] <= at_once);
             RC_ASSERT(s.empty_s >= s.from_s && s.empty_s <= plan.empty_s);
             const Machine* machine = p.cluster.machine(s.machine);
-            if (way == 0) RC_ASSERT(s.zone == request["zone"].get<std::string>());
-            if (way == 1) RC_ASSERT(s.type == request["type"].get<std::string>());
+            if (selection == 0) RC_ASSERT(s.zone == request["zone"].get<std::string>());
+            if (selection == 1) RC_ASSERT(s.type == request["type"].get<std::string>());
             RC_ASSERT(s.moves.size() == machine->live_attempts);
         }
         std::map<std::string, placement::Need> sent;
@@ -143,7 +143,8 @@
                 if (job.spec.spread && job.spec.tasks > 1 && whole) {
                     RC_ASSERT(n <= (job.spec.tasks + 1) / 2);
                 }
-                if (job.spec.one_zone && way == 2 && whole && job.spec.checkpoint_interval_s > 0) {
+                if (job.spec.one_zone && selection == 2 && whole &&
+                    job.spec.checkpoint_interval_s > 0) {
                     RC_ASSERT(n == 0 || n == job.live_attempts);
                 }
             }
