--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -43,7 +43,7 @@
             }
         }
     }
-    void ask(ClusterSimulation& simulation, const std::string& id) {
+    void request_cancellation(ClusterSimulation& simulation, const std::string& id) {
         if (!simulation.final_state(id).empty()) return;
         simulation.request_cancel_until_answered(id);
         asked.push_back(id);
@@ -170,7 +170,7 @@
                 for (const std::string& id : work.ids) {
                     red = std::max(red, simulation.gpus_used_by("red"));
                     blue = std::max(blue, simulation.gpus_used_by("blue"));
-                    if (random() % 3 == 0) work.ask(simulation, id);
+                    if (random() % 3 == 0) work.request_cancellation(simulation, id);
                     if (id == work.ids[3]) fault.inject_fault(simulation, random);
                     if (id == work.ids[3] && !before) m.start_failure(simulation, random, until);
                     if (share > 0 && random() % 12 == 0) simulation.restart_holders();
@@ -273,9 +273,9 @@
                 if (!id.empty()) ++met[name];
                 if (id == "any") {
                     for (const std::string& each : work.ids)
-                        if (random() % 2 == 0) work.ask(simulation, each);
+                        if (random() % 2 == 0) work.request_cancellation(simulation, each);
                 } else if (!id.empty()) {
-                    work.ask(simulation, id);
+                    work.request_cancellation(simulation, id);
                 }
                 if (share > 0 && random() % 3 == 0) simulation.restart_holders();
                 fault.inject_fault(simulation, random);
@@ -387,7 +387,7 @@
                 if (random() % 8 == 0)
                     simulation.block_inbound(name, simulation.now() + kLease + 4'000);
             }
-            work.ask(simulation, work.ids[random() % work.ids.size()]);
+            work.request_cancellation(simulation, work.ids[random() % work.ids.size()]);
             simulation.run_until(simulation.now() + random() % 20'000);
             kLeaderFaults[1 + random() % 4].inject_fault(simulation, random);
             simulation.run_until(simulation.now() + 4'000 + random() % 9'000);
