--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -19,7 +19,7 @@
 
 // Jobs that were submitted, and those whose cancellation was requested.
 struct Work {
-    std::vector<std::string> ids, asked;
+    std::vector<std::string> ids, cancel_requested;
     std::map<std::string, std::uint32_t> services;  // number of tasks by job id
 
     void submit(ClusterSimulation& simulation, const std::string& shape, std::uint32_t tasks,
@@ -46,7 +46,7 @@
     void request_cancellation(ClusterSimulation& simulation, const std::string& id) {
         if (!simulation.final_state(id).empty()) return;
         simulation.request_cancel_until_answered(id);
-        asked.push_back(id);
+        cancel_requested.push_back(id);
     }
 };
 
@@ -65,7 +65,7 @@
                                  << simulation.describe_cluster_state();
     };
     wait(25'000 + 3 * kLease + 5'000, [&]() -> std::string {
-        for (const std::string& id : work.asked)
+        for (const std::string& id : work.cancel_requested)
             if (simulation.final_state(id).empty()) return id + " has no final state";
         return "";
     });
@@ -179,7 +179,7 @@
                 expect_settled(simulation, work, until + 1'000);
                 full += red > 11 && blue > 15 ? 1 : 0;
                 changes += simulation.term_count() - terms;
-                told += work.asked.size();
+                told += work.cancel_requested.size();
                 lent += simulation.accepted_shard_grants();
             }
         }
