--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -148,7 +148,7 @@
          }},
     };
     std::uint64_t seed = 2'000;
-    std::size_t full = 0, changes = 0, told = 0, lent = 0;
+    std::size_t full = 0, changes = 0, cancelled_jobs = 0, lent = 0;
     for (const Machines& m : machines) {
         for (const LeaderFault& fault : kLeaderFaults) {
             for (std::uint32_t share = 0; share < 3; ++share) {
@@ -179,14 +179,14 @@
                 expect_settled(simulation, work, until + 1'000);
                 full += red > 11 && blue > 15 ? 1 : 0;
                 changes += simulation.term_count() - terms;
-                told += work.cancel_requested.size();
+                cancelled_jobs += work.cancel_requested.size();
                 lent += simulation.accepted_shard_grants();
             }
         }
     }
     EXPECT_GT(full, 30u);
     EXPECT_GT(changes, 70u);
-    EXPECT_GT(told, 300u);
+    EXPECT_GT(cancelled_jobs, 300u);
     EXPECT_GT(lent, 100u);
 }
 
