--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -148,7 +148,7 @@
          }},
     };
     std::uint64_t seed = 2'000;
-    std::size_t full = 0, changes = 0, cancelled_jobs = 0, lent = 0;
+    std::size_t full = 0, changes = 0, cancelled_jobs = 0, shards_granted = 0;
     for (const Machines& m : machines) {
         for (const LeaderFault& fault : kLeaderFaults) {
             for (std::uint32_t share = 0; share < 3; ++share) {
@@ -180,14 +180,14 @@
                 full += red > 11 && blue > 15 ? 1 : 0;
                 changes += simulation.term_count() - terms;
                 cancelled_jobs += work.cancel_requested.size();
-                lent += simulation.accepted_shard_grants();
+                shards_granted += simulation.accepted_shard_grants();
             }
         }
     }
     EXPECT_GT(full, 30u);
     EXPECT_GT(changes, 70u);
     EXPECT_GT(cancelled_jobs, 300u);
-    EXPECT_GT(lent, 100u);
+    EXPECT_GT(shards_granted, 100u);
 }
 
 // --- Jobs whose work is being handed over
@@ -330,7 +330,7 @@
 // grants for a while, or because a machine of the shard failed: the shard's record was then
 // rewritten and the holder's transactions failed.
 TEST(Failover, AHolderThatHasReleasedItsShard) {
-    std::size_t lent = 0;
+    std::size_t delegated_jobs = 0;
     for (std::uint64_t seed = 5'000; seed < 5'080 && !HasFailure(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         Random random(seed);
@@ -344,7 +344,7 @@
                 return j.delegated_shard != kNone && j.delegated_running > 0;
             });
         }
-        lent += id.empty() ? 0 : 1;
+        delegated_jobs += id.empty() ? 0 : 1;
         Faults faults;
         if (seed % 2 == 0) {
             faults.holder_one_way_partition = true;
@@ -360,7 +360,7 @@
         }
         expect_settled(simulation, work, 0);
     }
-    EXPECT_GT(lent, 15u);
+    EXPECT_GT(delegated_jobs, 15u);
 }
 
 // Copies of earlier heartbeats reach every controller when a new leader starts, and again after it
