--- a/tests/relay_simulation_test.cpp
+++ b/tests/relay_simulation_test.cpp
@@ -112,14 +112,14 @@
     for (std::uint64_t seed = 1; seed <= 12 && !testing::Test::HasFailure(); ++seed) {
         ClusterSimulation simulation(seed, {});
         run_forwarded_workload(simulation, seed, forwarding_faults, faults);
-        const auto& day = simulation.forwarding().coverage();
-        total.admitted += day.admitted;
-        total.followed += day.followed;
-        total.relayed += day.relayed;
-        total.stale += day.stale;
-        total.other_term += day.other_term;
-        total.unmatched += day.unmatched;
-        total.expired += day.expired;
+        const auto& run_coverage = simulation.forwarding().coverage();
+        total.admitted += run_coverage.admitted;
+        total.followed += run_coverage.followed;
+        total.relayed += run_coverage.relayed;
+        total.stale += run_coverage.stale;
+        total.other_term += run_coverage.other_term;
+        total.unmatched += run_coverage.unmatched;
+        total.expired += run_coverage.expired;
     }
     EXPECT_GT(total.admitted, 1'000u);
     EXPECT_GT(total.followed, total.admitted / 4);
