--- a/src/readiness/readiness.h
+++ b/src/readiness/readiness.h
@@ -9,14 +9,13 @@
 
 namespace nickelramp::readiness {
 
-/// starting: the machine types are not known yet
-/// serving:  the key-value store answers, as far as is known
-/// outage:   the store serves no controller; users are told to retry, and health checks still pass,
-///           so that none has to recover afterwards
-/// rejected: the store serves other controllers and rejects this one
-/// store_unreachable:  the store does not answer this controller, and it answers others or no peer
-/// is
-///           reachable
+/// - starting: the machine types are not known yet
+/// - serving: the key-value store answers, as far as is known
+/// - outage: the store serves no controller; users are told to retry, and health checks still pass,
+///   so that none has to recover afterwards
+/// - rejected: the store serves other controllers and rejects this one
+/// - store_unreachable: the store does not answer this controller, and it answers others or no peer
+///   is reachable
 enum class ReadinessState { starting, serving, outage, rejected, store_unreachable };
 /// Returns the state's name on the administration pages and in the log.
 [[nodiscard]] const char* name(ReadinessState state);
--- a/src/roles/role_assigner.h
+++ b/src/roles/role_assigner.h
@@ -117,9 +117,9 @@
         RoleState state = RoleState::unknown;
         lease::RoleRecord record;
         std::uint64_t fence = 0;
-        std::uint64_t taken_back_fence =
-            0;               // fence at which transfer_back() was called in this term
-        Millis read_at = 0;  // earliest time at which the record is read again
+        // Fence at which transfer_back() was called in this term.
+        std::uint64_t taken_back_fence = 0;
+        Millis read_at = 0;                    // earliest time at which the record is read again
         std::uint64_t unreadable_version = 0;  // last version that was logged as invalid
     };
     Entry& entry(lease::Role role) { return entries_[static_cast<std::size_t>(role)]; }
--- a/src/sharding/shard_allocator.h
+++ b/src/sharding/shard_allocator.h
@@ -78,7 +78,7 @@
 /// - A job is delegated whole, before any of its tasks is started, and counts against its team's
 ///   quota until its holder has finished it or it is reclaimed.
 /// - A delegated job that its holder does not confirm is reclaimed within
-/// jobs::kMaxWithholdingTime.
+///   jobs::kMaxWithholdingTime.
 /// - While the leader's lease is not confirmed, no shard is leased, renewed or reclaimed.
 ///
 /// Called by the control loop only: on ticks, in each scheduling pass, and for messages from peers.
