--- a/src/cluster/cluster_attempt_ends.cpp
+++ b/src/cluster/cluster_attempt_ends.cpp
@@ -15,7 +15,7 @@
 // A job whose tasks fail on several machines is put on trial: it runs one task at a time, with a
 // back-off between the starts of consecutive tasks that doubles each time.
 constexpr Millis kFirstBackoff = 10'000;
-constexpr Millis kLongestBackoff = jobs::kMaxHoldBack * 3 / 4;
+constexpr Millis kLongestBackoff = jobs::kMaxWithholdingTime * 3 / 4;
 constexpr Millis kShortestBackoff = kFirstBackoff / 2;  // counted from the end of a task
 constexpr std::uint32_t kMaxBackoffDoublings = 6;
 
@@ -122,8 +122,8 @@
         attempt_gone(attempt, now);  // its start command was never sent
         return;
     }
-    if (attempt.stop_wanted && attempt.stop_grace_s <= grace_s) return;
-    attempt.stop_wanted = true;
+    if (attempt.stop_requested && attempt.stop_grace_s <= grace_s) return;
+    attempt.stop_requested = true;
     attempt.stop_grace_s = grace_s;
     attempt.stop_sent = false;
     if (Machine* machine = machine_of(attempt)) actions_.queue_commands(*machine);
@@ -146,7 +146,8 @@
 
 void ClusterState::checkpoint_and_stop(Attempt& attempt, Millis now) {
     Job& job = job_of(attempt);
-    const double grace_s = job.spec.checkpoint_s > 0 ? job.spec.save_s + kSaveMarginS : 0;
+    const double grace_s =
+        job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_duration_s + kSaveMarginS : 0;
     if (job.is_gang())
         stop_each_attempt(job, grace_s, now);
     else
@@ -156,7 +157,7 @@
 void ClusterState::drain_attempt(Attempt& attempt, Millis now) {
     Job& job = job_of(attempt);
     if (!attempt.live() || job.state != JobState::open) return;
-    if (job.is_service() || job.is_gang() || job.spec.checkpoint_s > 0)
+    if (job.is_service() || job.is_gang() || job.spec.checkpoint_interval_s > 0)
         checkpoint_and_stop(attempt, now);
 }
 
@@ -166,7 +167,7 @@
     job.gang_broken = true;
     std::vector<Attempt*> to_stop;
     for (const auto& attempt : job.attempts) {
-        const bool saves = attempt->stop_wanted && attempt->stop_grace_s > 0;
+        const bool saves = attempt->stop_requested && attempt->stop_grace_s > 0;
         if (attempt->live() && !saves) to_stop.push_back(attempt.get());
     }
     for (Attempt* attempt : to_stop) request_stop(*attempt, 0, now);
--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -56,7 +56,7 @@
 /// running. Called by Controller, HeartbeatHandler and ShardHolder. `settings` and `gateway` must
 /// outlive it.
 ///
-/// Order of calls: set_machine_types, expect_lost_zone, load_shard, load_intents, load_job and
+/// Order of calls: set_machine_types, inherit_lost_zone, load_shard, load_intents, load_job and
 /// load_checkpoint, then start, then all other functions.
 class ControlLoop : private cluster::ClusterObserver,
                     private cluster::ControlActions,
@@ -76,8 +76,8 @@
     void load_shard(std::uint32_t shard_number, shards::Shard shard);
     /// Records that the previous leader has received nothing from the zone's machines since
     /// `since`. Called before load_shard().
-    void expect_lost_zone(const std::string& zone, Millis since) {
-        failure_detector_.expect_lost_zone(cluster_.intern_zone(zone), since);
+    void inherit_lost_zone(const std::string& zone, Millis since) {
+        failure_detector_.inherit_lost_zone(cluster_.intern_zone(zone), since);
     }
     /// Loads an open job.
     /// @param wall_ms the current time by the wall clock, which the record's acceptance time uses.
@@ -152,24 +152,24 @@
 
     void on_peer_status(const peers::Status& status, Millis now);
     /// Returns the grants to send now, by peer.
-    /// @param view_fresh the time up to which every cancellation is known.
-    [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(Millis view_fresh,
-                                                                       Millis now) {
-        return shard_allocator_.renewals(view_fresh, now);
+    /// @param cancellations_known_until the time up to which every cancellation is known.
+    [[nodiscard]] std::vector<sharding::AddressedGrant> shard_renewals(
+        Millis cancellations_known_until, Millis now) {
+        return shard_allocator_.renewals(cancellations_known_until, now);
     }
     void on_shard_status(const peers::ShardStatus& shard_status, Millis now) {
         shard_allocator_.on_shard_status(shard_status, now);
     }
     /// Returns the heartbeat delegations to send now, by peer. There are none while the lease is
-    /// not confirmed. `view_fresh` is as in shard_renewals().
+    /// not confirmed. `cancellations_known_until` is as in shard_renewals().
     [[nodiscard]] std::vector<partition::AddressedDelegation> heartbeat_delegations(
-        Millis view_fresh, Millis now);
+        Millis cancellations_known_until, Millis now);
     /// Returns how long this leader and its partition responders may go on replying to heartbeats
     /// while they cannot learn of cancellations.
     [[nodiscard]] Millis max_response_window() const {
         return heartbeat_delegator_.response_window();
     }
-    /// Returns the zones that are lost. The next leader passes them to expect_lost_zone().
+    /// Returns the zones that are lost. The next leader passes them to inherit_lost_zone().
     [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const {
         return failure_detector_.lost_zones(now);
     }
--- a/src/control/machine_checker.cpp
+++ b/src/control/machine_checker.cpp
@@ -74,7 +74,7 @@
     const bool healthy = machine.usable() && !machine.empty() &&
                          time_since_reached(machine, now) <
                              reachability_monitor_.unresponsive_timeout() - kCheckIntervalHealthy;
-    cluster_.wake_at(machine, now + (healthy ? kCheckIntervalHealthy : kCheckIntervalOther));
+    cluster_.schedule_check(machine, now + (healthy ? kCheckIntervalHealthy : kCheckIntervalOther));
     if (machine.state == MachineState::leased_out) return;
     if (machine.reserved_for != kNone && now >= machine.reserved_until)
         cluster_.release_reservation(machine);
@@ -108,7 +108,7 @@
     const bool inbound_only = machine.reachability == Reachability::inbound_only && in_use;
     const bool lost =
         unreached_for > lost_timeout() && machine.command_failures > 1 && !awaiting_takeover(now);
-    if (inbound_only || lost) failure_detector_.consider_giving_up(machine, now);
+    if (inbound_only || lost) failure_detector_.declare_lost_if_permitted(machine, now);
 }
 
 void MachineChecker::check_lease(Machine& machine, Millis now) {
--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -44,7 +44,7 @@
   public:
     Program(uv_loop_t* loop, const Config& config, const Command& command, std::ostream& out,
             std::ostream& err)
-        : asker_(loop, config, std::random_device{}()),
+        : client_(loop, config, std::random_device{}()),
           command_(command),
           repeat_timer_(loop, [this] { begin(); }),
           out_(out),
@@ -59,7 +59,7 @@
     // answers.
     void status(Formatter text) {
         send_repeatable("GET", "/admin/status", "", [this, text](const ControllerReply& a) {
-            on_status(a, text, asker_.controllers());
+            on_status(a, text, client_.controllers());
         });
     }
     void settings() { send_repeatable("GET", kSettings, "", text_answer(settings_text)); }
@@ -71,14 +71,14 @@
     void make_plan(const Json& request) {
         send_repeatable("POST", drain::kPlansPath, request.dump(),
                         [this](const ControllerReply& a) {
-                            if (fine(a)) show_plan();
+                            if (check_reply(a)) show_plan();
                         });
     }
     void show_plan() {
         send_repeatable("GET", plan_path(), "", [this](const ControllerReply& a) { on_plan(a); });
     }
     void list_plans() { send_repeatable("GET", drain::kPlansPath, "", text_answer(plans_text)); }
-    bool busy() const { return repeat_pending_ || !asker_.idle(); }
+    bool busy() const { return repeat_pending_ || !client_.idle(); }
     int code() const { return exit_code_; }
 
   private:
@@ -86,7 +86,7 @@
     void send_repeatable(std::string method, std::string target, std::string body,
                          ControllerClient::Done done) {
         send_request_ = [this, method, target, body, done] {
-            asker_.request(method, target, body, done);
+            client_.request(method, target, body, done);
         };
         begin();
     }
@@ -111,7 +111,7 @@
         };
     }
     // Returns whether the reply is a success. Otherwise prints the error and sets the exit code.
-    bool fine(const ControllerReply& a) {
+    bool check_reply(const ControllerReply& a) {
         if (!a.answered) {
             err_ << "no controller has answered (" << a.attempts << " tries)";
             if (a.reached_controller)
@@ -137,7 +137,7 @@
     // Returns the map in the body, CBOR from the user API or JSON from the administration API.
     // Otherwise prints the error, sets the exit code and returns nothing.
     std::optional<Json> read(const ControllerReply& a) {
-        if (!fine(a)) return std::nullopt;
+        if (!check_reply(a)) return std::nullopt;
         if (auto map = wire::decode_map(a.body)) return map;
         Json body = Json::parse(a.body, nullptr, false);
         if (body.is_object()) return body;
@@ -153,8 +153,8 @@
         if (!job) return;
         print(*job, job_text(*job));
         const auto status = wire::text_field(*job, "status");
-        const bool over = status == wire::final_name(wire::JobStatus::done) ||
-                          status == wire::final_name(wire::JobStatus::cancelled);
+        const bool over = status == wire::status_name(wire::JobStatus::done) ||
+                          status == wire::status_name(wire::JobStatus::cancelled);
         if (!over) watch();
     }
     // `left`: number of controllers left to ask, counting the one that gave this reply.
@@ -170,7 +170,7 @@
             return;
         }
         // This controller is not the leader. Asks the next one.
-        asker_.request(
+        client_.request(
             "GET", "/admin/status", "",
             [this, text, left, show](const ControllerReply& other) {
                 if (other.answered && other.status < 400)
@@ -178,7 +178,7 @@
                 else
                     show();
             },
-            (a.controller + 1) % asker_.controllers());
+            (a.controller + 1) % client_.controllers());
     }
     void on_plan(const ControllerReply& a) {
         auto page = read(a);
@@ -196,15 +196,15 @@
             for (Json& step : (*page)["steps"]) plan_["steps"].push_back(std::move(step));
         }
         if (next) {
-            asker_.request("GET", plan_path() + "?from=" + std::to_string(*next), "",
-                           [this](const ControllerReply& more) { on_plan(more); });
+            client_.request("GET", plan_path() + "?from=" + std::to_string(*next), "",
+                            [this](const ControllerReply& more) { on_plan(more); });
             return;
         }
         plan_.erase("next");
         print(plan_, plan_text(plan_, command_.moves));
         if (state == "refused") exit_code_ = kExitRejected;
     }
-    ControllerClient asker_;
+    ControllerClient client_;
     const Command& command_;
     net::Timer repeat_timer_;
     std::ostream& out_;
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -22,7 +22,7 @@
 }
 
 // Puts a blank line before the text.
-std::string below(const std::string& text) { return fmt::format("\n{}", text); }
+std::string after_blank_line(const std::string& text) { return fmt::format("\n{}", text); }
 
 const Json& array_field(const Json& map, const char* name) {
     static const Json none = Json::array();
@@ -44,12 +44,12 @@
 
 std::string table(const std::vector<std::string>& head,
                   const std::vector<std::vector<std::string>>& rows) {
-    std::vector<std::size_t> wide;
+    std::vector<std::size_t> widths;
     std::vector<char> right(head.size(), 1);
-    for (const std::string& h : head) wide.push_back(h.size());
+    for (const std::string& h : head) widths.push_back(h.size());
     for (const auto& row : rows) {
         for (std::size_t i = 0; i < head.size(); ++i) {
-            wide[i] = std::max(wide[i], row[i].size());
+            widths[i] = std::max(widths[i], row[i].size());
             if (!number(row[i]) && row[i] != "-") right[i] = 0;
         }
     }
@@ -57,8 +57,8 @@
     auto line = [&](const std::vector<std::string>& row) {
         std::string text;
         for (std::size_t i = 0; i < head.size(); ++i) {
-            text += right[i] != 0 ? fmt::format("{:>{}}", row[i], wide[i])
-                                  : fmt::format("{:<{}}", row[i], wide[i]);
+            text += right[i] != 0 ? fmt::format("{:>{}}", row[i], widths[i])
+                                  : fmt::format("{:<{}}", row[i], widths[i]);
             text += "  ";
         }
         text.erase(text.find_last_not_of(' ') + 1);
@@ -91,11 +91,11 @@
         machines != nullptr && machines->is_object()) {
         std::vector<std::vector<std::string>> rows;
         for (const auto& [state, n] : machines->items()) rows.push_back({state, n.dump()});
-        if (!rows.empty()) out += below(table({"machines", "number"}, rows));
+        if (!rows.empty()) out += after_blank_line(table({"machines", "number"}, rows));
     }
     if (!array_field(*book, "waiting").empty()) {
-        out += below(rows_of(array_field(*book, "waiting"),
-                             {"id", "class", "team", "tasks", "for_s", "why"}));
+        out += after_blank_line(rows_of(array_field(*book, "waiting"),
+                                        {"id", "class", "team", "tasks", "for_s", "why"}));
     }
     return out;
 }
@@ -130,19 +130,21 @@
         }
     }
     if (!steps.empty()) {
-        out +=
-            below(table({"machine", "type", "zone", "wave", "tasks", "from_s", "empty_s"}, steps));
+        out += after_blank_line(
+            table({"machine", "type", "zone", "wave", "tasks", "from_s", "empty_s"}, steps));
     }
     if (moves && !tasks.empty()) {
-        out += below(
+        out += after_blank_line(
             table({"machine", "task", "how", "to", "leaves_s", "back_s", "ends_s", "seen"}, tasks));
     }
     if (!array_field(plan, "hires").empty()) {
-        out += below(rows_of(array_field(plan, "hires"), {"type", "zone", "count", "price"}));
+        out += after_blank_line(
+            rows_of(array_field(plan, "hires"), {"type", "zone", "count", "price"}));
     }
     if (!array_field(plan, "refusals").empty()) {
-        out += below(rows_of(array_field(plan, "refusals"),
-                             {"job", "task", "machine", "due_s", "ends_s", "why", "instead"}));
+        out += after_blank_line(
+            rows_of(array_field(plan, "refusals"),
+                    {"job", "task", "machine", "due_s", "ends_s", "why", "instead"}));
     }
     for (const Json& name : array_field(plan, "passed_over")) {
         if (name.is_string()) out += "passed over: " + name.get<std::string>() + "\n";
@@ -157,13 +159,13 @@
 }
 
 std::string error_text(int status, const std::string& body) {
-    Json said = Json::parse(body, nullptr, false);
-    if (!said.is_object()) said = wire::decode_map(body).value_or(Json::object());
+    Json answer = Json::parse(body, nullptr, false);
+    if (!answer.is_object()) answer = wire::decode_map(body).value_or(Json::object());
     std::string out = fmt::format("the service says {}", status);
-    if (wire::field(said, "error") != nullptr) out += ": " + cell(said, "error");
+    if (wire::field(answer, "error") != nullptr) out += ": " + cell(answer, "error");
     for (const char* name : {"field", "least", "most"}) {
-        if (wire::field(said, name) != nullptr)
-            out += fmt::format(", {} {}", name, cell(said, name));
+        if (wire::field(answer, name) != nullptr)
+            out += fmt::format(", {} {}", name, cell(answer, name));
     }
     return out + "\n";
 }
--- a/src/drain/planner.cpp
+++ b/src/drain/planner.cpp
@@ -21,7 +21,7 @@
 // A task is assumed to need at least this share of its forecast run time, also past the forecast.
 constexpr double kMinRemainingFraction = 0.1;
 
-double since(Millis then, Millis now) { return static_cast<double>(now - then) / 1000.0; }
+double seconds_since(Millis then, Millis now) { return static_cast<double>(now - then) / 1000.0; }
 }  // namespace
 
 Planner::RequestResult Planner::request_plan(const Request& request) {
@@ -103,17 +103,17 @@
                            [](const auto& d) { return d->plan.state == PlanState::planning; });
     if (it == drafts_.end()) return 0;
     Draft& draft = **it;
-    std::size_t looked = 0;
-    while (looked < kTasksPerTurn && draft.next < draft.queue.size()) {
+    std::size_t examined = 0;
+    while (examined < kTasksPerTurn && draft.next < draft.queue.size()) {
         const auto& [index, name] = draft.queue[draft.next++];
-        ++looked;
+        ++examined;
         if (Machine* machine = cluster_.machine_by_index(index))
-            looked += plan_machine(draft, *machine, now);
+            examined += plan_machine(draft, *machine, now);
         else
             draft.plan.skipped_machines.push_back(name + ": it has gone meanwhile");
     }
     if (draft.next == draft.queue.size()) finish(draft);
-    return looked;
+    return examined;
 }
 
 std::size_t Planner::plan_machine(Draft& draft, Machine& machine, Millis now) {
@@ -150,7 +150,7 @@
     move.job = job.spec.id;
     move.task = attempt.task;
     move.observed_completions = forecast_.observed_completions(job);
-    if (attempt.stop_wanted || job.state != jobs::JobState::open) {
+    if (attempt.stop_requested || job.state != jobs::JobState::open) {
         move.kind = MoveKind::already_stopping;
         move.stops_s = move.restarts_s = attempt.stop_grace_s + kStopOverheadS;
         return move;
@@ -158,11 +158,12 @@
     double left_s = 0;  // remaining run time when the plan begins
     if (!job.is_service()) {
         const double run_s = forecast_.expected_run_s(job);
-        const double ran_s = attempt.running_since == 0 ? 0 : since(attempt.running_since, now);
+        const double ran_s =
+            attempt.running_since == 0 ? 0 : seconds_since(attempt.running_since, now);
         left_s = std::max(run_s - ran_s, kMinRemainingFraction * run_s);
     }
     const bool by_itself =
-        !job.is_service() && (job.spec.checkpoint_s <= 0 || left_s <= step.from_s);
+        !job.is_service() && (job.spec.checkpoint_interval_s <= 0 || left_s <= step.from_s);
     if (by_itself) {
         move.kind = MoveKind::runs_to_end;
         move.stops_s = move.restarts_s = left_s;
@@ -170,7 +171,8 @@
         return move;
     }
     move.kind = job.is_service() ? MoveKind::moves_elsewhere : MoveKind::checkpoints_and_moves;
-    move.stops_s = step.from_s + kStopOverheadS + (job.is_service() ? 0 : job.spec.save_s);
+    move.stops_s =
+        step.from_s + kStopOverheadS + (job.is_service() ? 0 : job.spec.checkpoint_duration_s);
     ZoneSpread& spread = spread_of(draft, job);
     if (machine.zone != kNone && spread.by_zone[machine.zone] > 0) --spread.by_zone[machine.zone];
     const Placement place = find_placement(draft, job, move.stops_s, now);
@@ -338,7 +340,7 @@
         instead = "later, when its image is on more machines";
     else
         instead = fmt::format("later: its task ends by itself in about {:.0f} s", undisturbed_s);
-    auto against = [&](std::string why, std::optional<double> due_s) {
+    auto add = [&](std::string why, std::optional<double> due_s) {
         add_violation(draft, {move.job, move.task, machine.name, std::move(why), instead, due_s,
                               move.ends_s});
     };
@@ -351,25 +353,24 @@
         }
         const double away_s = move.restarts_s - move.stops_s + kStopOverheadS;
         if (objective_s > 0 && away_s > objective_s) {
-            against(
-                fmt::format("a replica would be away for {:.0f} s, its class is promised a start "
+            add(fmt::format("a replica would be away for {:.0f} s, its class is promised a start "
                             "within {:.0f} s",
                             away_s, objective_s),
                 {});
         }
         return;
     }
-    const double age_s = since(job.accepted_at, now);
+    const double age_s = seconds_since(job.accepted_at, now);
     auto late = [&](double due_s) { return undisturbed_s <= due_s && *move.ends_s > due_s; };
     if (job.spec.deadline_s && late(*job.spec.deadline_s - age_s)) {
-        against("it would miss its deadline", *job.spec.deadline_s - age_s);
+        add("it would miss its deadline", *job.spec.deadline_s - age_s);
         return;
     }
     for (const wire::Objective& objective : term_.settings().objectives) {
         if (objective.kind != Kind::finished || objective.job_class != job.spec.job_class) continue;
         if (!late(objective.within_s - age_s)) continue;
-        against(fmt::format("its class is promised an end within {:.0f} s", objective.within_s),
-                objective.within_s - age_s);
+        add(fmt::format("its class is promised an end within {:.0f} s", objective.within_s),
+            objective.within_s - age_s);
         return;
     }
 }
--- a/src/failure/failure_detector.cpp
+++ b/src/failure/failure_detector.cpp
@@ -53,7 +53,7 @@
 
 // A single unresponsive machine has probably failed. Where many machines are unresponsive, their
 // tasks may still be running, and end when their leases expire.
-void FailureDetector::consider_giving_up(Machine& machine, Millis now) {
+void FailureDetector::declare_lost_if_permitted(Machine& machine, Millis now) {
     const Millis boot_time =
         machine.type == kNone ? 0 : seconds(cluster_.types()[machine.type].boot_s);
     if (!domains_.may_declare_lost(machine.zone, describe(machine), boot_time, now)) return;
@@ -76,7 +76,7 @@
     return unresponsive;
 }
 
-Millis FailureDetector::expected_recovery_by(Index zone, Millis otherwise) const {
+Millis FailureDetector::last_reached_at(Index zone, Millis otherwise) const {
     const auto lost = inherited_lost_since_.find(zone);
     return lost == inherited_lost_since_.end() ? otherwise : std::min(otherwise, lost->second);
 }
--- a/src/failure/failure_detector.h
+++ b/src/failure/failure_detector.h
@@ -54,7 +54,7 @@
 
     /// Drains or releases a machine if its domain permits that now. The machine must have been
     /// unresponsive for long enough to be declared lost if it were the only one.
-    void consider_giving_up(machines::Machine& machine, Millis now);
+    void declare_lost_if_permitted(machines::Machine& machine, Millis now);
     /// Removes machines that are missing from the cloud's instance list, if the list is certainly
     /// newer than the one that showed them.
     /// @param asked_at when the list was requested.
@@ -63,10 +63,10 @@
 
     /// Records that the zone was lost for the previous leader, which received no heartbeats from it
     /// since `since`.
-    void expect_lost_zone(Index zone, Millis since) { inherited_lost_since_[zone] = since; }
+    void inherit_lost_zone(Index zone, Millis since) { inherited_lost_since_[zone] = since; }
     /// Returns when the zone's machines were last reached, as far as is known: `otherwise`, or
     /// earlier if the zone was lost for the previous leader.
-    [[nodiscard]] Millis expected_recovery_by(Index zone, Millis otherwise) const;
+    [[nodiscard]] Millis last_reached_at(Index zone, Millis otherwise) const;
     /// Returns the zones that are lost, to be reported to the next leader.
     [[nodiscard]] std::vector<peers::Status::LostZone> lost_zones(Millis now) const;
 
--- a/src/forecast/demand_forecast.h
+++ b/src/forecast/demand_forecast.h
@@ -97,7 +97,7 @@
     }
     /// Returns whether empty on-demand machines of the type are reserved for whole-machine tasks
     /// now.
-    [[nodiscard]] bool keeps_empty_machine(Index type, Millis now);
+    [[nodiscard]] bool reserves_empty_machines(Index type, Millis now);
     /// Returns how many unused on-demand machines are to be kept.
     [[nodiscard]] std::size_t wanted_spare_machines(Index type, Millis now);
     /// Returns how many machines are to be kept free for whole-machine tasks that cannot wait for a
@@ -109,7 +109,7 @@
     /// machine provisioned now could boot.
     [[nodiscard]] std::vector<std::uint32_t> slots_freed_soon() const;
     /// Returns the average CPU use of arrays with a higher priority than the job.
-    [[nodiscard]] double expected_load_above(const jobs::Job& job, Millis now);
+    [[nodiscard]] double expected_higher_priority_load(const jobs::Job& job, Millis now);
 
   private:
     template <typename FreesMachine>
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -22,7 +22,7 @@
 /// The longest time for which a job that could start is held back for any reason other than missing
 /// machines or its team's limit: capacity reserved for other work, or a suspicion that the job is
 /// faulty (docs/design/waiting-jobs.md).
-inline constexpr Millis kMaxHoldBack = 60'000;
+inline constexpr Millis kMaxWithholdingTime = 60'000;
 
 enum class JobState {
     open,       ///< accepted and not known to have ended
@@ -116,7 +116,7 @@
     ScheduleSlack slack = ScheduleSlack::at_risk;
     Millis unplaced_since = 0;              // first scheduler pass that found no slot; 0: none
     Millis capacity_withheld_since = 0;     // free slots are withheld for other jobs; 0: none are
-    Millis fits_limit_since = 0;            // a waiting gang fits its team's limit; 0: it does not
+    Millis fits_quota_since = 0;            // a waiting gang fits its team's limit; 0: it does not
     bool any_machine_type_allowed = false;  // the cloud offers only types withheld for other jobs
     bool avoids_expensive_machines = false;
     std::vector<Index> reserved_machines;  // machines on which tasks were preempted for it
@@ -144,9 +144,9 @@
     /// Returns whether the checkpoints of all live attempts are committed. A gang starts only then.
     [[nodiscard]] bool all_attempts_recorded() const { return unconfirmed_attempts == 0; }
     /// Returns whether free slots may be withheld from this job for other jobs. They may not once
-    /// they have been withheld for more than kMaxHoldBack.
+    /// they have been withheld for more than kMaxWithholdingTime.
     [[nodiscard]] bool may_withhold_capacity(Millis now) const {
-        return capacity_withheld_since == 0 || now - capacity_withheld_since <= kMaxHoldBack;
+        return capacity_withheld_since == 0 || now - capacity_withheld_since <= kMaxWithholdingTime;
     }
     /// Returns the relative cost of a slot on the type; 1 for a type that was not known when the
     /// job was added.
--- a/src/roles/role_manager.cpp
+++ b/src/roles/role_manager.cpp
@@ -60,7 +60,7 @@
 void RoleManager::start_leading(std::uint64_t term, kvstore::Condition condition,
                                 std::uint64_t lease_id, Millis now) {
     // Roles attached to the helper lease become vacant.
-    helper_lease_.give_up(HelperLease::EndReason::became_leader);
+    helper_lease_.release(HelperLease::EndReason::became_leader);
     term_ = term;
     leading_since_ = now;
     helper_.clear();
@@ -121,7 +121,7 @@
         // that nobody acts under the role even if its holder is unreachable.
         const Millis all_expired_at =
             with_clock_drift(kAssignmentDuration) + std::max(sent_at, leading_since_);
-        if (!keep && now > all_expired_at) assigner_.take_back(role);
+        if (!keep && now > all_expired_at) assigner_.transfer_back(role);
     }
 }
 
--- a/src/scheduling/placement_rules.cpp
+++ b/src/scheduling/placement_rules.cpp
@@ -29,9 +29,9 @@
     return job.spec.spot || !machine.spot;
 }
 
-std::uint32_t PlacementRules::tasks_within_limit(const Job& job) const {
+std::uint32_t PlacementRules::tasks_within_quota(const Job& job) const {
     if (term_.is_shard_holder()) return job.spec.tasks;  // charged to the quota by the leader
-    const wire::Team& quota = cluster_.team_rule(job.team);
+    const wire::Team& quota = cluster_.team_quota(job.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(job.team);
     // A gang needs quota for all its tasks at once. Quota that becomes free is reserved for a gang
     // that has waited long. Otherwise small tasks would use it first and the gang would never
@@ -54,8 +54,8 @@
     return tasks <= 0 ? 0 : static_cast<std::uint32_t>(tasks);
 }
 
-bool PlacementRules::within_limit(const Job& job, std::uint32_t tasks) const {
-    return tasks_within_limit(job) >= tasks;
+bool PlacementRules::within_quota(const Job& job, std::uint32_t tasks) const {
+    return tasks_within_quota(job) >= tasks;
 }
 
 double PlacementRules::placement_cost(const Job& job, const Machine& machine) const {
@@ -127,7 +127,7 @@
     if (victim.spec.priority < job.spec.priority) return true;
     if (!job.within_guaranteed_quota || victim.team == job.team || victim.within_guaranteed_quota)
         return false;
-    const wire::Team& guaranteed = cluster_.team_rule(victim.team);
+    const wire::Team& guaranteed = cluster_.team_quota(victim.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(victim.team);
     return usage.gpus > guaranteed.gpus + placement::kFitTolerance ||
            (guaranteed.gpus <= 0 && usage.cpus > guaranteed.cpus);
--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -98,7 +98,7 @@
 FreeResources PreemptionSearch::free_soon(const Machine& machine) const {
     FreeResources free = FreeResources::of(machine);
     for (const Attempt* attempt : machine.attempts) {
-        if (attempt->live() && attempt->stop_wanted)
+        if (attempt->live() && attempt->stop_requested)
             free.add(placement::need_of(cluster_.job_of(*attempt)));
     }
     return free;
@@ -124,7 +124,7 @@
         rules_.reserved_for_replicas(job_, machine, wanted_replica_slots_))
         return false;
     if (machine.empty_on_demand && job_.spec.spot &&
-        forecast_.keeps_empty_machine(machine.type, now_))
+        forecast_.reserves_empty_machines(machine.type, now_))
         return false;
     return machine.reserved_for == kNone || now_ >= machine.reserved_until;
 }
@@ -153,7 +153,7 @@
     // stopped only once the job has waited for that long.
     const bool gangs_too = job_.unplaced_since != 0 && now_ - job_.unplaced_since >= boot_time_;
     for (Attempt* attempt : machine.attempts) {
-        if (!attempt->live() || attempt->stop_wanted || !rules_.may_preempt(*attempt, job_))
+        if (!attempt->live() || attempt->stop_requested || !rules_.may_preempt(*attempt, job_))
             continue;
         const Job& victim = cluster_.job_of(*attempt);
         if (victim.is_gang() && !gangs_too) continue;
@@ -219,8 +219,9 @@
             machine.attempts.end())
             continue;
         const Job& victim = cluster_.job_of(*attempt);
-        machine.reserved_until = std::max(
-            machine.reserved_until, now_ + seconds(victim.spec.save_s) + kReservationDuration);
+        machine.reserved_until =
+            std::max(machine.reserved_until,
+                     now_ + seconds(victim.spec.checkpoint_duration_s) + kReservationDuration);
         spdlog::debug("preempting task: task={}/{} machine={} for_job={}", victim.spec.id,
                       attempt->task, machine.name, job_.spec.id);
         cluster_.checkpoint_and_stop(*attempt, now_);
--- a/src/scheduling/quota_preemption.cpp
+++ b/src/scheduling/quota_preemption.cpp
@@ -36,7 +36,7 @@
 }
 
 QuotaPreemption::Amount QuotaPreemption::shortage_in_quota() const {
-    const wire::Team& quota = cluster_.team_rule(gang_.team);
+    const wire::Team& quota = cluster_.team_quota(gang_.team);
     const cluster::TeamUsage& usage = cluster_.team_usage(gang_.team);
     const wire::JobSpec& spec = gang_.spec;
     Amount shortage;
@@ -63,7 +63,7 @@
 void QuotaPreemption::collect_victims_of(const Job& victim, Amount& total) {
     for (const auto& attempt : victim.attempts) {
         if (!attempt->live()) continue;
-        if (attempt->stop_wanted) {
+        if (attempt->stop_requested) {
             shortage_.gpus -= victim.spec.gpus;
             shortage_.cpus -= victim.spec.cpus;
             continue;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -46,8 +46,8 @@
 bool Scheduler::make_room(Job& job, Millis now) {
     const std::uint32_t tasks =
         job.is_gang() ? job.spec.tasks
-                      : std::min(job.placeable_tasks(), rules_.tasks_within_limit(job));
-    return tasks > 0 && rules_.within_limit(job, tasks) && preempt_for(job, tasks, now);
+                      : std::min(job.placeable_tasks(), rules_.tasks_within_quota(job));
+    return tasks > 0 && rules_.within_quota(job, tasks) && preempt_for(job, tasks, now);
 }
 
 // A search examines a limited number of machines, and the next search continues after them.
@@ -59,7 +59,7 @@
     const std::size_t intervals = 1 + search_size / (PreemptionSearch::kMachinesPerSearch + 1);
     job.next_preemption_at = now + kSearchInterval * static_cast<Millis>(intervals);
     job.preemption_under_way = false;
-    if (job.reservations_since != 0 && now - job.reservations_since > jobs::kMaxHoldBack) {
+    if (job.reservations_since != 0 && now - job.reservations_since > jobs::kMaxWithholdingTime) {
         // The job was not placed on its reserved machines in time, so other jobs may use them for a
         // while.
         release_reservations(cluster_, job);
@@ -78,18 +78,18 @@
 // team. Once the gang fits, the reservation is kept for about as long as a machine takes to boot.
 // It is then paused so that other jobs of the team can use the quota.
 void Scheduler::update_quota_reservation(Job& gang, Millis now) {
-    if (!rules_.within_limit(gang, gang.spec.tasks)) {
-        gang.fits_limit_since = 0;
+    if (!rules_.within_quota(gang, gang.spec.tasks)) {
+        gang.fits_quota_since = 0;
         if (cluster_.may_reserve_quota(gang.team, now)) QuotaPreemption(cluster_, gang, now).run();
         return;
     }
-    if (gang.fits_limit_since == 0) {
-        gang.fits_limit_since = now;
+    if (gang.fits_quota_since == 0) {
+        gang.fits_quota_since = now;
         // Resets the state of preemption within the quota, which does not apply to machines.
         gang.preemption_under_way = false;
         gang.next_preemption_at = 0;
     }
-    if (now - gang.fits_limit_since <= typical_boot_time(cluster_) + kReservationDuration) return;
+    if (now - gang.fits_quota_since <= typical_boot_time(cluster_) + kReservationDuration) return;
     cluster_.pause_quota_reservation(gang, now);
 }
 
--- a/src/scheduling/task_placement.cpp
+++ b/src/scheduling/task_placement.cpp
@@ -33,7 +33,7 @@
     if (!count_live_tasks()) return false;
     collect_candidates();
     wanted_replica_slots_ = forecast_.wanted_replica_slots(now_);
-    while (!candidates_.empty() && job_.unplaced_tasks() > 0 && rules_.within_limit(job_, 1)) {
+    while (!candidates_.empty() && job_.unplaced_tasks() > 0 && rules_.within_quota(job_, 1)) {
         Machine& machine = pop_cheapest();
         if (!may_use(machine)) continue;
         if (!start_next_task(machine)) return false;
@@ -60,7 +60,7 @@
 }
 
 void TaskPlacement::collect_candidates() {
-    if (rules_.within_limit(job_, 1)) {
+    if (rules_.within_quota(job_, 1)) {
         for (Machine* machine : rules_.fitting_machines(job_, need_, now_)) {
             if (withheld_.withholds(withheld_from_job(*machine))) continue;
             candidates_.push_back(candidate(*machine));
@@ -94,7 +94,7 @@
     if (job_.spec.one_zone && zone_ != kNone && machine.zone != zone_) return false;
     if (!zone_tasks_.allows_more_in(machine.zone)) return false;
     if (withheld_.withholds(machine.empty_on_demand && job_.spec.spot &&
-                            forecast_.keeps_empty_machine(machine.type, now_)))
+                            forecast_.reserves_empty_machines(machine.type, now_)))
         return false;
     return !withheld_.withholds(machine.replica_slots > 0 &&
                                 rules_.reserved_for_replicas(job_, machine, wanted_replica_slots_));
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -124,8 +124,8 @@
     spec.spread = reader.flag(names::kSpread);
     spec.spot = reader.flag(names::kSpot);
     spec.estimate_s = reader.amount(names::kEstimate);
-    spec.checkpoint_s = reader.amount(names::kCheckpointInterval);
-    spec.save_s = reader.amount(names::kCheckpointDuration);
+    spec.checkpoint_interval_s = reader.amount(names::kCheckpointInterval);
+    spec.checkpoint_duration_s = reader.amount(names::kCheckpointDuration);
     if (reader.has(names::kDeadline)) spec.deadline_s = reader.amount(names::kDeadline);
     if (reader.error()) return *reader.error();
     return spec;
@@ -141,6 +141,6 @@
     return answer;
 }
 
-const char* final_name(JobStatus status) { return name_of(kStatuses, status); }
+const char* status_name(JobStatus status) { return name_of(kStatuses, status); }
 
 }  // namespace nickelramp::wire
--- a/src/wire/job_messages.h
+++ b/src/wire/job_messages.h
@@ -41,7 +41,7 @@
     /// The user's estimate of a task's run time in seconds, or 0 if there is none.
     double estimate_s = 0;
     /// Interval between a task's checkpoints and duration of a checkpoint, in seconds.
-    double checkpoint_s = 0, save_s = 0;
+    double checkpoint_interval_s = 0, checkpoint_duration_s = 0;
     /// Seconds after the submission.
     std::optional<double> deadline_s;
 };
@@ -72,6 +72,6 @@
 Json encode_job_answer(const std::string& id, JobStatus status,
                        const std::optional<TaskCounts>& counts = std::nullopt);
 /// Returns the name of a status in the protocol and in job records.
-const char* final_name(JobStatus status);
+const char* status_name(JobStatus status);
 
 }  // namespace nickelramp::wire
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -19,7 +19,7 @@
 
 // Jobs that were submitted, and those whose cancellation was requested.
 struct Work {
-    std::vector<std::string> ids, asked;
+    std::vector<std::string> ids, cancel_requested;
     std::map<std::string, std::uint32_t> services;  // number of tasks by job id
 
     void submit(ClusterSimulation& simulation, const std::string& shape, std::uint32_t tasks,
@@ -43,10 +43,10 @@
             }
         }
     }
-    void ask(ClusterSimulation& simulation, const std::string& id) {
+    void request_cancellation(ClusterSimulation& simulation, const std::string& id) {
         if (!simulation.final_state(id).empty()) return;
         simulation.request_cancel_until_answered(id);
-        asked.push_back(id);
+        cancel_requested.push_back(id);
     }
 };
 
@@ -65,7 +65,7 @@
                                  << simulation.describe_cluster_state();
     };
     wait(25'000 + 3 * kLease + 5'000, [&]() -> std::string {
-        for (const std::string& id : work.asked)
+        for (const std::string& id : work.cancel_requested)
             if (simulation.final_state(id).empty()) return id + " has no final state";
         return "";
     });
@@ -148,7 +148,7 @@
          }},
     };
     std::uint64_t seed = 2'000;
-    std::size_t full = 0, changes = 0, told = 0, lent = 0;
+    std::size_t full = 0, changes = 0, cancelled_jobs = 0, shards_granted = 0;
     for (const Machines& m : machines) {
         for (const LeaderFault& fault : kLeaderFaults) {
             for (std::uint32_t share = 0; share < 3; ++share) {
@@ -170,7 +170,7 @@
                 for (const std::string& id : work.ids) {
                     red = std::max(red, simulation.gpus_used_by("red"));
                     blue = std::max(blue, simulation.gpus_used_by("blue"));
-                    if (random() % 3 == 0) work.ask(simulation, id);
+                    if (random() % 3 == 0) work.request_cancellation(simulation, id);
                     if (id == work.ids[3]) fault.inject_fault(simulation, random);
                     if (id == work.ids[3] && !before) m.start_failure(simulation, random, until);
                     if (share > 0 && random() % 12 == 0) simulation.restart_holders();
@@ -179,15 +179,15 @@
                 expect_settled(simulation, work, until + 1'000);
                 full += red > 11 && blue > 15 ? 1 : 0;
                 changes += simulation.term_count() - terms;
-                told += work.asked.size();
-                lent += simulation.accepted_shard_grants();
+                cancelled_jobs += work.cancel_requested.size();
+                shards_granted += simulation.accepted_shard_grants();
             }
         }
     }
     EXPECT_GT(full, 30u);
     EXPECT_GT(changes, 70u);
-    EXPECT_GT(told, 300u);
-    EXPECT_GT(lent, 100u);
+    EXPECT_GT(cancelled_jobs, 300u);
+    EXPECT_GT(shards_granted, 100u);
 }
 
 // --- Jobs whose work is being handed over
@@ -273,9 +273,9 @@
                 if (!id.empty()) ++met[name];
                 if (id == "any") {
                     for (const std::string& each : work.ids)
-                        if (random() % 2 == 0) work.ask(simulation, each);
+                        if (random() % 2 == 0) work.request_cancellation(simulation, each);
                 } else if (!id.empty()) {
-                    work.ask(simulation, id);
+                    work.request_cancellation(simulation, id);
                 }
                 if (share > 0 && random() % 3 == 0) simulation.restart_holders();
                 fault.inject_fault(simulation, random);
@@ -330,7 +330,7 @@
 // grants for a while, or because a machine of the shard failed: the shard's record was then
 // rewritten and the holder's transactions failed.
 TEST(Failover, AHolderThatHasReleasedItsShard) {
-    std::size_t lent = 0;
+    std::size_t delegated_jobs = 0;
     for (std::uint64_t seed = 5'000; seed < 5'080 && !HasFailure(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         Random random(seed);
@@ -344,7 +344,7 @@
                 return j.delegated_shard != kNone && j.delegated_running > 0;
             });
         }
-        lent += id.empty() ? 0 : 1;
+        delegated_jobs += id.empty() ? 0 : 1;
         Faults faults;
         if (seed % 2 == 0) {
             faults.holder_one_way_partition = true;
@@ -360,7 +360,7 @@
         }
         expect_settled(simulation, work, 0);
     }
-    EXPECT_GT(lent, 15u);
+    EXPECT_GT(delegated_jobs, 15u);
 }
 
 // Copies of earlier heartbeats reach every controller when a new leader starts, and again after it
@@ -387,7 +387,7 @@
                 if (random() % 8 == 0)
                     simulation.block_inbound(name, simulation.now() + kLease + 4'000);
             }
-            work.ask(simulation, work.ids[random() % work.ids.size()]);
+            work.request_cancellation(simulation, work.ids[random() % work.ids.size()]);
             simulation.run_until(simulation.now() + random() % 20'000);
             kLeaderFaults[1 + random() % 4].inject_fault(simulation, random);
             simulation.run_until(simulation.now() + 4'000 + random() % 9'000);
