--- a/tests/election_simulation.cpp
+++ b/tests/election_simulation.cpp
@@ -32,7 +32,7 @@
     return *controllers_[index]->role_manager;
 }
 
-// --- processes
+// --- Processes
 
 void ElectionSimulation::start(std::size_t index) {
     if (controllers_[index]) ended_controllers_.push_back(std::move(controllers_[index]));
@@ -64,7 +64,7 @@
     if (controller.leader_lease().fence != 0) request_cloud_changes(controller);
 }
 
-// The leader wants something of the cloud now and then.
+// Requests a new machine and the release of another in one of four ticks, chosen at random.
 void ElectionSimulation::request_cloud_changes(Controller& controller) {
     if (random_() % 4 != 0) return;
     const std::string request = "r-" + std::to_string(++requests_);
@@ -104,7 +104,7 @@
     controller.role_manager->send_assignment(controller.local_time());
 }
 
-// --- links
+// --- Links
 
 ElectionSimulation::Controller* ElectionSimulation::controller_named(const std::string& name) {
     for (const auto& controller : controllers_) {
@@ -173,11 +173,11 @@
     return total;
 }
 
-// --- faults
+// --- Faults
 
-void ElectionSimulation::crash(std::size_t index, Millis back_after) {
+void ElectionSimulation::crash(std::size_t index, Millis restart_after) {
     controllers_[index]->running = false;
-    at(now_ + back_after, [this, index, crashed = controllers_[index]->incarnation] {
+    at(now_ + restart_after, [this, index, crashed = controllers_[index]->incarnation] {
         if (controllers_[index]->incarnation == crashed) start(index);
     });
 }
@@ -198,7 +198,7 @@
     });
 }
 
-// --- who leads and who may act
+// --- Leadership and roles
 
 std::size_t ElectionSimulation::leader() const {
     for (const auto& controller : controllers_) {
@@ -219,13 +219,13 @@
     return size();
 }
 
-// At this moment nobody else may act, and no later holder has acted before.
+// Asserts that no other controller may act under the role now and that no later holder has acted.
 void ElectionSimulation::on_act(Controller& controller, Role role, std::uint64_t fence) {
     controller.trace("act", static_cast<int>(role), fence);
     ++act_counts_[index_of(role)];
     if (!controller.role_manager->assigner().is_leading()) ++acts_by_helper_;
     EXPECT_GE(fence, last_fence_[index_of(role)]) << controller.name << " acts under " << name(role)
-                                                  << " after its successor has, at " << now_;
+                                                  << " after its successor has acted, at " << now_;
     last_fence_[index_of(role)] = fence;
     for (const auto& other : controllers_) {
         if (other.get() == &controller) continue;
@@ -242,8 +242,8 @@
     return std::exchange(longest_vacancy_[index], 0);
 }
 
-// At most one controller may act under the role. A holder that stands still does not count as one:
-// the role is vacant meanwhile.
+// Asserts that at most one controller may act under the role, and measures vacancies. The role
+// counts as vacant while its holder is frozen.
 void ElectionSimulation::check_role(Role role) {
     const std::size_t index = index_of(role);
     std::size_t holders = 0;
--- a/tests/election_simulation.h
+++ b/tests/election_simulation.h
@@ -1,11 +1,11 @@
 /// @file
-/// Whole controllers as far as leadership and roles go: the election, the role manager and their
-/// messages, three to five controllers around a key-value store and a cloud, in simulated time.
+/// Simulates leader election and role assignment among three to five controllers that share a
+/// key-value store and a cloud, in simulated time.
 ///
-/// Controllers crash, stand still while their clocks run on, are cut off from the state service,
-/// the cloud or their peers with messages lost or held back, and come back as another process. At
-/// every act the simulation asserts that no other controller may act under the same role at that
-/// moment.
+/// Controllers crash and restart as a new process, freeze while their clocks advance, and are
+/// partitioned from the state service, the cloud or their peers, with messages lost or delayed.
+/// Whenever a controller acts under a role, the simulation asserts that no other controller may act
+/// under that role at the same time.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -29,17 +29,17 @@
     ElectionSimulation(std::uint64_t seed, std::size_t controllers);
     ~ElectionSimulation();
 
-    /// What a controller can be cut off from.
+    /// What a controller can be partitioned from.
     enum class Link { state, cloud, peers };
 
     void run_until(Millis until);
     Millis now() const { return now_; }
 
-    /// The process ends; another with the same name starts after so long.
-    void crash(std::size_t index, Millis back_after);
-    /// The process stands still while its clock runs on.
+    /// Ends the process. Another process of the same name starts after `restart_after`.
+    void crash(std::size_t index, Millis restart_after);
+    /// Suspends the process while its clock advances.
     void freeze(std::size_t index, Millis duration);
-    /// Messages on the link are lost, or, if `held`, arrive when the partition is over.
+    /// Loses messages on the link or, if `held`, delivers them after the partition has ended.
     void partition(std::size_t index, Link link, Millis duration, bool held);
     void take_state_service_down(Millis duration);
     /// Probability that a message of any kind is lost.
@@ -50,23 +50,28 @@
     /// Probability that a transaction, or a request for a lease, is executed at once and only its
     /// reply is lost.
     double lost_write_replies = 0;
-    /// How many writes with lost replies changed keys with the prefix; "hold": leases.
+    /// Returns the number of writes with a lost reply that changed keys with the prefix. The prefix
+    /// "hold" stands for lease requests.
     std::size_t lost_write_replies_of(const std::string& prefix) const;
     std::size_t late_applied() const { return late_applied_; }
 
     std::size_t size() const { return controllers_.size(); }
-    /// Who certainly leads now; size() if nobody does.
+    /// Returns the index of the controller whose leader lease is valid now, or size() if there is
+    /// none.
     std::size_t leader() const;
-    /// Who may act under the role now; size() if nobody may.
+    /// Returns the index of a controller that may act under the role now, or size() if there is
+    /// none.
     std::size_t role_holder(lease::Role role) const;
     roles::RoleManager& role_manager(std::size_t index);
-    /// The longest time for which nobody could act under the role since the last call.
+    /// Returns the longest time since the last call during which no controller could act under the
+    /// role.
     Millis longest_vacancy(lease::Role role);
     std::size_t act_count(lease::Role role) const {
         return act_counts_[static_cast<std::size_t>(role)];
     }
     std::size_t acts_by_helper() const { return acts_by_helper_; }
-    /// Requests that were not sent because the lease was over when their turn came.
+    /// Returns the number of requests that were not sent because the lease had expired before they
+    /// were due.
     std::size_t acts_refused() const { return acts_refused_; }
     void set_key(const std::string& key, const wire::Json& value) { store_.set_key(key, value); }
     std::size_t count_keys(const std::string& prefix) const { return store_.count_keys(prefix); }
@@ -80,13 +85,13 @@
         Link link = Link::state;
         std::function<Reply()> execute;
         std::function<void(Millis now, const Reply&)> done;
-        Reply refused{};                 ///< the reply if it is not sent
-        Reply unknown{};                 ///< the reply if none comes
-        std::function<bool()> may_send;  ///< asked when its turn comes; empty: always
+        Reply refused{};                 ///< the reply if the request is not sent
+        Reply unknown{};                 ///< the reply if none arrives
+        std::function<bool()> may_send;  ///< checked before sending; empty: always sent
         std::function<void()> on_sent;
     };
     enum class RequestKind { read, lease, transaction, cloud };
-    /// What becomes of a request on its way.
+    /// The fate of a request and of its reply in the network.
     struct Delivery {
         Millis delay = 0;
         bool arrives = true;
@@ -102,8 +107,8 @@
     bool chance(double probability) {
         return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
     }
-    /// Runs the event in the process that the controller is now, once it does not stand still.
-    /// Timers come after the messages that wait.
+    /// Runs the event at the given time, or once the process is no longer frozen. Drops it if the
+    /// process has ended. After a freeze, timers run after the pending messages.
     void run_in_process(Controller& controller, Millis time, std::function<void()> event,
                         bool is_timer = false);
     template <typename Reply>
--- a/tests/election_simulation_controller.cpp
+++ b/tests/election_simulation_controller.cpp
@@ -7,7 +7,7 @@
 using lease::Role;
 
 namespace {
-constexpr std::size_t kMaxOperations = 6;  // of one transaction
+constexpr std::size_t kMaxOperations = 6;  // per transaction
 constexpr std::size_t kAllKeys = 10'000;
 constexpr Millis kWatchGrace = 5'000;
 }  // namespace
@@ -47,10 +47,9 @@
 }
 
 template <typename Reply>
-void ElectionSimulation::Controller::ask_store(std::function<Reply()> execute,
-                                               std::function<void(Millis now, const Reply&)> done,
-                                               std::function<bool()> may_send,
-                                               std::function<void()> on_sent) {
+void ElectionSimulation::Controller::send_store_request(
+    std::function<Reply()> execute, std::function<void(Millis now, const Reply&)> done,
+    std::function<bool()> may_send, std::function<void()> on_sent) {
     Request<Reply> request;
     request.link = Link::state;
     request.execute = std::move(execute);
@@ -61,11 +60,11 @@
     simulation.send_request(*this, std::move(request));
 }
 
-// --- what the election asks
+// --- Requests of the election
 
 void ElectionSimulation::Controller::ElectionStore::list(const std::string& prefix, ListDone done) {
     controller.trace("election-list", prefix);
-    controller.ask_store<kvstore::ListReply>(
+    controller.send_store_request<kvstore::ListReply>(
         [this, prefix] { return controller.simulation.store_.list(prefix, "", kAllKeys); },
         std::move(done));
 }
@@ -77,7 +76,7 @@
     ElectionSimulation& simulation = controller.simulation;
     auto answered = std::make_shared<bool>(false);
     auto reply_with = [this, &simulation, done, answered](const kvstore::ListReply& reply) {
-        if (*answered || simulation.is_partitioned(controller, Link::state)) return;  // lost
+        if (*answered || simulation.is_partitioned(controller, Link::state)) return;  // reply lost
         *answered = true;
         simulation.run_in_process(controller, simulation.now_ + simulation.delay(5),
                                   [this, done, reply] { done(controller.local_time(), reply); });
@@ -103,28 +102,28 @@
 
 void ElectionSimulation::Controller::ElectionStore::get(const std::string& key, GetDone done) {
     controller.trace("election-get", key);
-    controller.ask_store<kvstore::GetReply>(
+    controller.send_store_request<kvstore::GetReply>(
         [this, key] { return controller.simulation.store_.get(key); }, std::move(done));
 }
 
 void ElectionSimulation::Controller::ElectionStore::commit(const kvstore::Transaction& transaction,
                                                            CommitDone done) {
     controller.trace("election-commit", traced(transaction));
-    controller.ask_store<kvstore::CommitReply>(
+    controller.send_store_request<kvstore::CommitReply>(
         [this, transaction] { return controller.simulation.store_.apply(transaction); },
         std::move(done));
 }
 
 void ElectionSimulation::Controller::ElectionStore::grant_lease(Millis ttl, LeaseDone done) {
     controller.trace("lease", ttl);
-    controller.ask_store<kvstore::LeaseReply>(
+    controller.send_store_request<kvstore::LeaseReply>(
         [this, ttl] { return controller.simulation.store_.grant_lease(ttl); }, std::move(done));
 }
 
 void ElectionSimulation::Controller::ElectionStore::renew_lease(std::uint64_t lease_id,
                                                                 LeaseDone done) {
     controller.trace("renew", lease_id);
-    controller.ask_store<kvstore::LeaseReply>(
+    controller.send_store_request<kvstore::LeaseReply>(
         [this, lease_id] { return controller.simulation.store_.renew_lease(lease_id); },
         std::move(done));
 }
@@ -137,7 +136,7 @@
                       [&simulation, lease_id] { simulation.store_.expire_lease(lease_id); });
         return;
     }
-    controller.ask_store<kvstore::LeaseReply>(
+    controller.send_store_request<kvstore::LeaseReply>(
         [&simulation, lease_id] {
             simulation.store_.expire_lease(lease_id);
             return kvstore::LeaseReply{kvstore::Status::ok, 0};
@@ -145,7 +144,7 @@
         [](Millis, const kvstore::LeaseReply&) {});
 }
 
-// --- what the role manager asks
+// --- Requests of the role manager
 
 void ElectionSimulation::Controller::RoleServices::commit(kvstore::Transaction transaction,
                                                           RoleRecordStore::CommitDone done) {
@@ -154,7 +153,7 @@
         const lease::Lease lease = controller.leader_lease();
         return lease.fence == term && controller.local_time() < lease.expires_at;
     };
-    controller.ask_store<kvstore::CommitReply>(
+    controller.send_store_request<kvstore::CommitReply>(
         [this, transaction] { return controller.simulation.store_.apply(transaction); },
         std::move(done), may_send);
 }
@@ -162,7 +161,7 @@
 void ElectionSimulation::Controller::RoleServices::commit_garbage_collection(
     const Proof& proof, kvstore::Transaction transaction, GarbageCollectionStore::CommitDone done) {
     controller.trace("clean", proof.fence(), traced(transaction));
-    controller.ask_store<kvstore::CommitReply>(
+    controller.send_store_request<kvstore::CommitReply>(
         [this, transaction] { return controller.simulation.store_.apply(transaction); },
         std::move(done), [proof] { return proof.is_valid(); },
         [this, proof] {
@@ -174,7 +173,7 @@
     const std::string& prefix, const std::string& after, std::size_t limit,
     GarbageCollectionStore::ListDone done) {
     controller.trace("page", prefix, after, limit);
-    controller.ask_store<kvstore::ListReply>(
+    controller.send_store_request<kvstore::ListReply>(
         [this, prefix, after, limit] {
             return controller.simulation.store_.list(prefix, after, limit);
         },
--- a/tests/election_simulation_controller.h
+++ b/tests/election_simulation_controller.h
@@ -1,6 +1,6 @@
 /// @file
-/// One controller of an election simulation: its clock, its faults, and what the election and the
-/// role manager ask of the world. Included by the simulation's sources only.
+/// One controller of an election simulation: its clock, its faults, and the services that its
+/// election and role manager use. Included only by the sources of the simulation.
 #pragma once
 #include <memory>
 #include <string>
@@ -22,7 +22,7 @@
         bool held;
     };
 
-    /// The key-value store as the election reaches it.
+    /// Access of the election to the simulated key-value store.
     struct ElectionStore : election::ElectionStore {
         explicit ElectionStore(Controller& owner) : controller(owner) {}
         void list(const std::string& prefix, ListDone done) override;
@@ -37,7 +37,7 @@
         Controller& controller;
     };
 
-    /// What the role manager asks of the world.
+    /// The services that the role manager uses: state store, peers, cloud and leadership.
     struct RoleServices : roles::RoleStateStore,
                           roles::RolePeerChannel,
                           roles::RoleCloud,
@@ -84,7 +84,7 @@
         const auto now = static_cast<double>(simulation.now_);
         return clock_offset + static_cast<Millis>(now * (1 + drift));
     }
-    /// The simulation's time when this controller's clock shows that.
+    /// Returns the simulated time at which this controller's clock shows `local`.
     Millis simulated_time(Millis local) const {
         return static_cast<Millis>(static_cast<double>(local - clock_offset) / (1 + drift)) + 1;
     }
@@ -100,22 +100,23 @@
     void trace(const char* kind, const Fields&... fields) {
         simulation.trace_.add(simulation.now_, kind, name, incarnation, fields...);
     }
-    /// A request to the state service, executed by its store.
+    /// Sends a request to the state service.
     template <typename Reply>
-    void ask_store(std::function<Reply()> execute,
-                   std::function<void(Millis now, const Reply&)> done,
-                   std::function<bool()> may_send = {}, std::function<void()> on_sent = {});
+    void send_store_request(std::function<Reply()> execute,
+                            std::function<void(Millis now, const Reply&)> done,
+                            std::function<bool()> may_send = {},
+                            std::function<void()> on_sent = {});
 
     ElectionSimulation& simulation;
     std::size_t index;
     std::string name;
     std::uint64_t incarnation;
-    double drift;         // of its steady clock
-    Millis clock_offset;  // where that began
-    bool running = true;  // this process
+    double drift;         ///< of the monotonic clock, as a fraction
+    Millis clock_offset;  ///< what the clock shows at simulated time 0
+    bool running = true;  ///< false once the process has crashed
     Millis frozen_until = 0;
     std::vector<Partition> partitions;
-    std::uint64_t term = 0;  // that it leads; 0: none
+    std::uint64_t term = 0;  ///< the term that this controller leads; 0: none
     ElectionStore election_store{*this};
     RoleServices role_services{*this};
     std::unique_ptr<election::Election> election;
@@ -128,7 +129,7 @@
     void on_leader_changed(const std::string& leader) override { trace("leader-changed", leader); }
 };
 
-// A request's turn comes a little later; the lease may be over by then.
+// Requests are sent after a short random delay, during which the lease may expire.
 template <typename Reply>
 void ElectionSimulation::send_request(Controller& controller, Request<Reply> request) {
     constexpr RequestKind kKind =
