--- a/tests/leased_key_value_store.cpp
+++ b/tests/leased_key_value_store.cpp
@@ -47,7 +47,7 @@
         }
         reply.entries.push_back({key, stored.value, stored.version, false});
     }
-    // A key that is the prefix itself.
+    // upper_bound() above skips a key that equals the prefix.
     if (after.empty() && keys_.contains(prefix) && reply.entries.size() < limit)
         reply.entries.push_back({prefix, keys_[prefix].value, keys_[prefix].version, false});
     return reply;
--- a/tests/leased_key_value_store.h
+++ b/tests/leased_key_value_store.h
@@ -1,7 +1,7 @@
 /// @file
 /// The key-value store of a simulation: keys with versions, transactions, leases and watches, in
-/// simulated time. It is correct and immediate; what is lost or late on the way to it is the
-/// simulation's part.
+/// simulated time. It executes every request correctly and at once. Lost and delayed messages are
+/// simulated by its users.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -30,21 +30,21 @@
     kvstore::CommitReply apply(const kvstore::Transaction& transaction);
     kvstore::LeaseReply grant_lease(Millis ttl);
     kvstore::LeaseReply renew_lease(std::uint64_t lease_id);
-    /// Ends the lease and deletes its keys; also what a revocation does.
+    /// Ends the lease and deletes its keys. Also used for revocations.
     void expire_lease(std::uint64_t lease_id);
-    /// Ends all leases whose time is over, unless the store is down.
+    /// Ends all expired leases, unless the store is down.
     void expire_leases();
-    /// `done` is called once, at the first change under the prefix after that revision.
+    /// Calls `done` once, at the first change under the prefix after revision `after`.
     void watch(const std::string& prefix, std::uint64_t after, WatchDone done);
 
-    /// While it is down no lease ends and no watch is answered.
+    /// Until then, no lease expires and no watch is answered.
     void take_down_until(Millis until) { down_until_ = std::max(down_until_, until); }
     bool is_down() const { return clock_() < down_until_; }
     Millis down_until() const { return down_until_; }
-    /// After an outage every lease has its full time, and watches are answered again.
+    /// Ends an outage: extends every lease to its full duration and answers pending watches.
     void restore();
 
-    /// Changes so far, and the key of one of them.
+    /// Returns the number of changes so far. `changed_key()` returns the key of one of them.
     std::size_t change_count() const { return changes_.size(); }
     const std::string& changed_key(std::size_t index) const { return changes_[index].key; }
 
