--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -41,8 +41,8 @@
     return std::string(info->test_suite_name()) + "." + info->name();
 }
 
-// The value of an environment variable; empty if it is not set.
-std::string folder_from(const char* variable) {
+// Returns the value of the environment variable, or an empty string if it is not set.
+std::string environment_value(const char* variable) {
     const char* value = std::getenv(variable);
     return value == nullptr ? "" : value;
 }
@@ -59,10 +59,10 @@
     return "unknown";
 }
 
-// What is on record: the lines of each test, by the test's name.
 using Lines = std::vector<std::string>;
 
-std::map<std::string, Lines> read_golden() {
+// Returns the recorded lines by the name of their test.
+std::map<std::string, Lines> read_recorded_lines() {
     std::map<std::string, Lines> by_test;
     std::ifstream file(NICKELRAMP_GOLDEN_TRACES);
     for (std::string line; std::getline(file, line);) {
@@ -73,10 +73,10 @@
 
 }  // namespace
 
-// Collects the traces of the current test, and compares or records them when it ends.
+// Collects the traces of the current test and compares or records them when the test ends.
 class TraceRecorder : public testing::EmptyTestEventListener {
   public:
-    // The test framework owns it, from the first run of tests on.
+    // Owned by the test framework once TraceEnvironment has registered it.
     static TraceRecorder& instance() {
         static auto* const recorder = new TraceRecorder;
         return *recorder;
@@ -97,7 +97,7 @@
         shared_.reset();
         Lines found;
         for (auto& [ordinal, line] : lines_) found.push_back(std::move(line));
-        const std::string folder = folder_from("NICKELRAMP_RECORD_TRACES");
+        const std::string folder = environment_value("NICKELRAMP_RECORD_TRACES");
         if (folder.empty())
             compare(found);
         else if (!found.empty())
@@ -108,20 +108,21 @@
     static void record(const std::string& folder, const Lines& found) {
         std::ofstream file(folder + "/" + current_test() + ".txt");
         for (const std::string& line : found) file << line << "\n";
-        EXPECT_TRUE(file.good()) << "traces cannot be written to " << folder;
+        EXPECT_TRUE(file.good()) << "cannot write traces to " << folder;
     }
-    // The first difference is enough: what follows it often comes of it.
+    // Reports only the first difference, because later ones are often its consequences.
     static void compare(const Lines& found) {
-        static const std::map<std::string, Lines> golden = read_golden();
+        static const std::map<std::string, Lines> golden = read_recorded_lines();
         const auto it = golden.find(current_test());
         const Lines expected = it == golden.end() ? Lines{} : it->second;
         const auto [differs, other] =
             std::mismatch(found.begin(), found.end(), expected.begin(), expected.end());
         if (differs == found.end() && other == expected.end()) return;
-        ADD_FAILURE() << "traces differ from those on record; the first that does\n"
-                      << "  now:       " << (differs == found.end() ? "none" : *differs) << "\n"
-                      << "  on record: " << (other == expected.end() ? "none" : *other) << "\n"
-                      << "If behaviour was to change, tools/traces records them anew.";
+        ADD_FAILURE()
+            << "traces differ from the recorded ones; first difference:\n"
+            << "  now:      " << (differs == found.end() ? "none" : *differs) << "\n"
+            << "  recorded: " << (other == expected.end() ? "none" : *other) << "\n"
+            << "If the change of behaviour is intended, record the traces again with tools/traces.";
     }
 
     std::size_t last_ordinal_ = 0;
@@ -131,12 +132,12 @@
 
 namespace {
 
-// Registers the recorder when the framework has made the printer of results: listeners hear of the
-// end of a test in reverse order, and the printer must know of the recorder's failures.
+// Registers the recorder after the framework has created its result printer. Listeners are notified
+// of the end of a test in reverse order, and the printer must see failures that the recorder adds.
 class TraceEnvironment : public testing::Environment {
   public:
     void SetUp() override {
-        if (std::exchange(registered_, true)) return;  // tests may be repeated
+        if (std::exchange(registered_, true)) return;  // SetUp() runs again if tests are repeated
         testing::UnitTest::GetInstance()->listeners().Append(&TraceRecorder::instance());
     }
 
@@ -144,7 +145,8 @@
     bool registered_ = false;
 };
 
-// Whether or not any trace is made: tests that have traces on record and make none are to fail.
+// Registered even if no trace is created: tests that have recorded traces but create none must
+// fail.
 [[maybe_unused]] const testing::Environment* const environment =
     testing::AddGlobalTestEnvironment(new TraceEnvironment);
 
@@ -153,9 +155,9 @@
 Trace::Trace() : Trace(TraceRecorder::instance().next_ordinal()) {}
 
 Trace::Trace(std::size_t ordinal) : ordinal_(ordinal), hash_(kFnvBasis) {
-    const std::string folder = folder_from("NICKELRAMP_TRACE_EVENTS");
+    const std::string folder = environment_value("NICKELRAMP_TRACE_EVENTS");
     if (folder.empty()) return;
-    full_.open(folder + "/" + current_test() + "-" + std::to_string(ordinal_) + ".txt");
+    event_file_.open(folder + "/" + current_test() + "-" + std::to_string(ordinal_) + ".txt");
 }
 
 Trace::~Trace() {
@@ -165,10 +167,10 @@
                                                   " " + std::to_string(events_) + " " + hash);
 }
 
-void Trace::take_in(const std::string& event) {
+void Trace::append_event(const std::string& event) {
     ++events_;
     hash_ = extend_hash(extend_hash(hash_, event), "\n");
-    if (full_.is_open()) full_ << event << "\n";
+    if (event_file_.is_open()) event_file_ << event << "\n";
 }
 
 JsonWriter& JsonWriter::end() {
@@ -178,10 +180,10 @@
 }
 
 void JsonWriter::write(std::string_view text) {
-    const bool as_it_is = std::all_of(text.begin(), text.end(), [](char c) {
+    const bool needs_no_escaping = std::all_of(text.begin(), text.end(), [](char c) {
         return c >= ' ' && c < '\x7f' && c != '"' && c != '\\';
     });
-    if (!as_it_is) return write(Json(std::string(text)));
+    if (!needs_no_escaping) return write(Json(std::string(text)));
     text_ += '"';
     text_ += text;
     text_ += '"';
@@ -192,7 +194,7 @@
 void JsonWriter::write(const Json& value) {
     constexpr int kCompact = -1;
     constexpr bool kEscapeToAscii = true;
-    // Texts of odd requests may be no UTF-8.
+    // Texts of malformed requests may be invalid UTF-8.
     text_ += value.dump(kCompact, ' ', kEscapeToAscii, Json::error_handler_t::replace);
 }
 
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -1,13 +1,14 @@
-// Traces of simulations: everything that the code under test sends, commits and answers, in order
-// and with simulated time, reduced to a hash. At the end of each test its hashes are compared with
-// those on record (tests/traces/recorded.txt), so that no change of behaviour goes unnoticed while
-// the code is reshaped. Log lines and names in the code are no part of a trace.
-//
-// Environment variables, both of which name a folder that exists:
-//
-//   NICKELRAMP_RECORD_TRACES  write the hashes there, a file for each test, and compare nothing
-//   NICKELRAMP_TRACE_EVENTS   write every event there, a file for each trace: two runs can be
-//                             compared line by line
+/// @file
+/// Traces of simulations: everything that the code under test sends, commits and answers, in order
+/// and with simulated time, reduced to a hash. At the end of each test the hashes of its traces are
+/// compared with the recorded ones (tests/traces/recorded.txt), so that refactoring cannot change
+/// behaviour unnoticed. Log lines and identifiers are not part of a trace.
+///
+/// Two environment variables each name an existing folder:
+///
+///   NICKELRAMP_RECORD_TRACES  writes the hashes there, one file per test, and compares nothing
+///   NICKELRAMP_TRACE_EVENTS   writes every event there, one file per trace, so that two runs can
+///                             be compared line by line
 #pragma once
 #include <concepts>
 #include <cstdint>
@@ -27,10 +28,10 @@
 
 using kvstore::Json;
 
-// Writes JSON text without building a value first: traces have millions of events.
+/// Writes JSON text without building a JSON value first, because traces have millions of events.
 class JsonWriter {
   public:
-    // An array of them.
+    /// Writes an array of the items.
     template <typename... Items>
     JsonWriter& array(const Items&... items) {
         begin();
@@ -70,41 +71,41 @@
     std::string text_;
 };
 
-// The trace of one simulation. It is made within a test, and is complete when it is destroyed.
+/// The trace of one simulation. It is created within a test and is complete when it is destroyed.
 class Trace {
   public:
-    // Traces of a test are numbered from 1 in the order of their construction.
+    /// Traces of a test are numbered from 1 in the order of their construction.
     Trace();
     ~Trace();
     Trace(const Trace&) = delete;
     Trace& operator=(const Trace&) = delete;
 
-    // An event: when it happened in simulated time (0 where a test has none), its kind, and all
-    // that belongs to it, the sender too where there are several.
+    /// Adds an event: its simulated time (0 in tests without simulated time), its kind and its
+    /// data, including the sender if there are several.
     template <typename... Fields>
     void add(Millis now, const char* kind, const Fields&... fields) {
         event_.clear();
         event_.array(now, kind, fields...);
-        take_in(event_.text());
+        append_event(event_.text());
     }
 
   private:
     friend class TraceRecorder;
     explicit Trace(std::size_t ordinal);
-    void take_in(const std::string& event);
+    void append_event(const std::string& event);
 
     std::size_t ordinal_;
     std::size_t events_ = 0;
     std::uint64_t hash_;
     JsonWriter event_;
-    std::ofstream full_;  // open if every event is to be written
+    std::ofstream event_file_;  ///< open if every event is written
 };
 
-// The trace with number 0 of the current test, for what a test does outside of simulations or in
-// so many small ones that one trace for all of them says enough.
+/// Returns trace 0 of the current test. It is for events outside of simulations, and for tests that
+/// run many small simulations and share one trace among them.
 Trace& test_trace();
 
-// Messages as they appear in a trace.
+/// Returns the message in the form in which traces contain it.
 JsonWriter traced(const kvstore::Transaction& transaction);
 JsonWriter traced(const std::vector<wire::Command>& commands);
 JsonWriter traced(const machines::HeartbeatReply& reply);
