--- a/tests/election_simulation.h
+++ b/tests/election_simulation.h
@@ -77,7 +77,7 @@
     std::size_t count_keys(const std::string& prefix) const { return store_.count_keys(prefix); }
 
   private:
-    struct Controller;  // tests/election_simulation_controller.h
+    struct Controller;  // defined in tests/election_simulation_controller.h
 
     /// One request to the state service or the cloud.
     template <typename Reply>
@@ -134,7 +134,7 @@
     Millis now_ = 0;
     std::multimap<Millis, std::function<void()>> queue_;
     std::vector<std::unique_ptr<Controller>> controllers_;
-    std::vector<std::unique_ptr<Controller>> ended_controllers_;  // events still refer to them
+    std::vector<std::unique_ptr<Controller>> ended_controllers_;  ///< events still refer to them
     std::uint64_t incarnations_ = 0;
     LeasedKeyValueStore store_{[this] { return now_; }};
 
