--- a/tests/role_parts_test.cpp
+++ b/tests/role_parts_test.cpp
@@ -60,7 +60,7 @@
     helper_lease.keep_until(30'000);
     helper_lease.run_due_work(1'000);
     ASSERT_EQ(store.grants.size(), 1u);
-    helper_lease.give_up(HelperLease::EndReason::became_leader);
+    helper_lease.release(HelperLease::EndReason::became_leader);
     store.grants[0](1'100, {Status::ok, 7});
     EXPECT_EQ(helper_lease.id(), 0u);
     EXPECT_EQ(store.revoked, std::vector<std::uint64_t>{7});
