--- a/tests/cluster_simulation_calls.cpp
+++ b/tests/cluster_simulation_calls.cpp
@@ -35,7 +35,7 @@
         const cloud::ProvisionReply reply = owner.cloud_.provision(provision_request);
         if (lost) return;
         for (const std::string& name : reply.machines)
-            owner.workers_.machine(name).named_in_rental_reply = true;
+            owner.workers_.machine(name).named_in_provision_reply = true;
         done(owner.now(), reply);
     });
     if (!delivery.lost) return;
--- a/tests/simulated_machine.h
+++ b/tests/simulated_machine.h
@@ -76,7 +76,7 @@
     std::uint64_t answered_term = 0;  ///< term that answered the last forwarded heartbeat; 0: none
 
     // Faults.
-    bool named_in_rental_reply = false;  ///< a provisioning reply has named it
+    bool named_in_provision_reply = false;  ///< a provisioning reply has named it
     Millis inbound_blocked_until = 0, commands_blocked_until = 0, heartbeats_blocked_until = 0;
 
     [[nodiscard]] bool exists() const { return !removed && !dead; }
