--- a/tests/cluster_simulation_heartbeats.cpp
+++ b/tests/cluster_simulation_heartbeats.cpp
@@ -57,7 +57,7 @@
     context_.after(context_.delay(kMaxMessageDelay), [this, sent, heartbeat, follows_reply] {
         SimulatedMachine& machine = workers_.machine(sent.machine);
         const bool inbound_blocked = now() < machine.inbound_blocked_until;
-        context_.coverage.heartbeats_before_rental_reply +=
+        context_.coverage.heartbeats_before_provision_reply +=
             machine.named_in_provision_reply ? 0 : 1;
         const machines::HeartbeatReply reply =
             deliver_heartbeat(machine.target, heartbeat, follows_reply);
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -56,7 +56,7 @@
         const ClusterSimulation::Coverage& coverage = day.simulation.coverage();
         unlisted += coverage.working_but_unlisted;
         booting += coverage.working_but_listed_booting;
-        before_reply += coverage.heartbeats_before_rental_reply;
+        before_reply += coverage.heartbeats_before_provision_reply;
         late += coverage.late_commits_applied + coverage.late_commits_refused;
     });
     EXPECT_GT(unlisted, 15u);
