--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -151,7 +151,7 @@
     context_.after(kUserRetryDelay, [this, id] { request_cancel_until_answered(id); });
 }
 
-std::vector<std::string> ClusterSimulation::jobs_reported_late(Millis longer) const {
+std::vector<std::string> ClusterSimulation::jobs_without_final_state(Millis longer) const {
     std::vector<std::string> late;
     for (const auto& [id, spec] : jobs_.specs()) {
         if (final_state(id).empty() && jobs_.completed_before(id, now(), longer))
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -86,7 +86,7 @@
     /// Returns when the final state of the job was recorded; 0 before that.
     [[nodiscard]] Millis final_at(const std::string& id) const { return jobs_.final_at(id); }
     /// Returns the jobs that completed more than `longer` ago and have no final state.
-    [[nodiscard]] std::vector<std::string> jobs_reported_late(Millis longer) const;
+    [[nodiscard]] std::vector<std::string> jobs_without_final_state(Millis longer) const;
     /// From now on, asserts that no job waits for longer than `longest` while only the leader
     /// delays it (see WaitingJobChecker).
     void expect_wait_below(Millis longest);
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -252,8 +252,8 @@
         simulation.clear_faults();
         simulation.run_until(simulation.now() + 15'000);  // a new leader is elected meanwhile
         // Workers send heartbeats only every 3 s, and no event makes them send one earlier.
-        EXPECT_TRUE(simulation.jobs_reported_late(10'000).empty())
-            << simulation.jobs_reported_late(10'000).front();
+        EXPECT_TRUE(simulation.jobs_without_final_state(10'000).empty())
+            << simulation.jobs_without_final_state(10'000).front();
         expect_all_finish(simulation, ids, 200'000);
         add(coverage, simulation.coverage());
     }
