--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -207,7 +207,7 @@
     [[nodiscard]] std::size_t accepted_shard_grants() const { return accepted_shard_grants_; }
     /// Returns the number of cancellations that were confirmed while a leader of an earlier term
     /// still responded to workers.
-    [[nodiscard]] std::size_t cancellations_confirmed_beside_old_leaders() const {
+    [[nodiscard]] std::size_t cancellations_confirmed_while_old_leaders_respond() const {
         return cancellations_confirmed_beside_old_leaders_;
     }
     /// Returns the number of replies 200 to heartbeats by leaders of an earlier term.
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -131,7 +131,8 @@
         scenario.run();
         scenario.expect_cancellations_confirmed();
         confirmed_before_outage += scenario.another_leader_confirmed() ? 1 : 0;
-        beside_old_leader += scenario.simulation().cancellations_confirmed_beside_old_leaders();
+        beside_old_leader +=
+            scenario.simulation().cancellations_confirmed_while_old_leaders_respond();
         by_old_leader += scenario.simulation().replies_by_old_leaders();
     }
     EXPECT_GT(confirmed_before_outage, 50u);
@@ -211,7 +212,7 @@
             if (random() % 2 == 0) simulation.request_cancel_until_answered(id);
         }
         simulation.run_until(simulation.now() + 60'000);
-        beside_old_leader += simulation.cancellations_confirmed_beside_old_leaders();
+        beside_old_leader += simulation.cancellations_confirmed_while_old_leaders_respond();
         expect_all_finish(simulation, ids, 200'000);
     }
     EXPECT_GT(beside_old_leader, 40u);
