--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -208,7 +208,7 @@
     /// Returns the number of cancellations that were confirmed while a leader of an earlier term
     /// still responded to workers.
     [[nodiscard]] std::size_t cancellations_confirmed_while_old_leaders_respond() const {
-        return cancellations_confirmed_beside_old_leaders_;
+        return cancellations_confirmed_while_old_leaders_respond_;
     }
     /// Returns the number of replies 200 to heartbeats by leaders of an earlier term.
     [[nodiscard]] std::size_t replies_by_old_leaders() const { return replies_by_old_leaders_; }
@@ -397,7 +397,7 @@
     std::vector<HeldHeartbeat> held_heartbeats_;
     std::size_t heartbeat_copies_ = 0, answered_heartbeat_copies_ = 0;
     std::size_t replies_by_old_leaders_ = 0, replies_by_responders_ = 0;
-    std::size_t cancellations_confirmed_beside_old_leaders_ = 0;
+    std::size_t cancellations_confirmed_while_old_leaders_respond_ = 0;
 };
 
 }  // namespace nickelramp::test
--- a/tests/cluster_simulation_store.cpp
+++ b/tests/cluster_simulation_store.cpp
@@ -21,7 +21,7 @@
     const std::string id = key.substr(std::string(kJobKeyPrefix).size());
     const std::string state = wire::text_field(value, "final").value_or("");
     if (state == "withdrawn") {
-        cancellations_confirmed_beside_old_leaders_ +=
+        cancellations_confirmed_while_old_leaders_respond_ +=
             std::any_of(controllers_.begin(), controllers_.end(), [&](const auto& controller) {
                 return controller->control_loop && controller->term < term_ &&
                        may_respond(*controller);
