--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -48,7 +48,8 @@
             {"guess_s", 10.0},    {"save_every_s", 5.0}, {"save_cost_s", 2.0}, {"due_s", nullptr}};
 }
 
-wire::Heartbeat report(std::uint64_t incarnation, std::uint64_t sequence, std::uint64_t token) {
+wire::Heartbeat make_heartbeat_without_tasks(std::uint64_t incarnation, std::uint64_t sequence,
+                                             std::uint64_t token) {
     wire::Heartbeat heartbeat;
     heartbeat.incarnation = incarnation;
     heartbeat.sequence = sequence;
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -37,7 +37,8 @@
 wire::Json job(const std::string& id, const std::string& shape, std::uint32_t tasks, double gpus);
 
 /// Returns a heartbeat with these values and no tasks.
-wire::Heartbeat report(std::uint64_t incarnation, std::uint64_t sequence, std::uint64_t token);
+wire::Heartbeat make_heartbeat_without_tasks(std::uint64_t incarnation, std::uint64_t sequence,
+                                             std::uint64_t token);
 
 /// Runs real control loops, shard holders and partition responders against a simulated key-value
 /// store, cloud, network and workers. Faults (simulation_faults.h) are injected at random or by the
--- a/tests/reachability_monitor_test.cpp
+++ b/tests/reachability_monitor_test.cpp
@@ -12,7 +12,7 @@
 using control::ReachabilityMonitor;
 using machines::Machine;
 using machines::Reachability;
-using test::report;
+using test::make_heartbeat_without_tasks;
 
 struct ReachabilityMonitorTest : testing::Test {
     ReachabilityMonitorTest() {
@@ -23,7 +23,7 @@
     // Lets the machine answer a command every second from `from` to `to`, without any heartbeat.
     void answer_commands(Millis from, Millis to) {
         for (Millis now = from; now <= to; now += 1'000)
-            machine.channel.on_command_reply(report(1, ++sequence, 10),
+            machine.channel.on_command_reply(make_heartbeat_without_tasks(1, ++sequence, 10),
                                              machine.channel.newest_position(), now, now);
     }
 
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -17,7 +17,7 @@
 using test::Faults;
 using test::for_each_seed;
 using test::job;
-using test::report;
+using test::make_heartbeat_without_tasks;
 using test::SimulatedDay;
 
 const Millis kLease = test::simulated_lease();
@@ -70,20 +70,20 @@
 TEST(Reachability, AMachineThatAnswersButSendsNoHeartbeatsIsInboundOnly) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
-    EXPECT_EQ(channel.on_heartbeat(report(1, 1, 10), false, 2'000),
+    EXPECT_EQ(channel.on_heartbeat(make_heartbeat_without_tasks(1, 1, 10), false, 2'000),
               machines::EvidenceFreshness::fresh);
     channel.on_reply_sent(kLease, 2'000);
     std::uint64_t sequence = 1;
     for (Millis now = 6'000; now <= 16'000; now += 5'000) {
-        EXPECT_EQ(channel.on_command_reply(report(1, ++sequence, 10), channel.newest_position(),
-                                           now, now),
+        EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(1, ++sequence, 10),
+                                           channel.newest_position(), now, now),
                   machines::EvidenceFreshness::fresh);
         EXPECT_EQ(channel.reachability(5'000, now), Reachability::reachable);
         EXPECT_EQ(channel.renewed_at(), 2'000);
     }
     EXPECT_FALSE(channel.is_inbound_only(kLease, 16'000));
     EXPECT_TRUE(channel.is_inbound_only(kLease, 16'001));
-    EXPECT_EQ(channel.on_heartbeat(report(1, ++sequence, 10), false, 16'002),
+    EXPECT_EQ(channel.on_heartbeat(make_heartbeat_without_tasks(1, ++sequence, 10), false, 16'002),
               machines::EvidenceFreshness::fresh);
     EXPECT_FALSE(channel.is_inbound_only(kLease, 60'000));
 }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -24,7 +24,7 @@
 }
 
 wire::Heartbeat full_heartbeat() {
-    wire::Heartbeat heartbeat = test::report(3, 41, 1ull << 52);
+    wire::Heartbeat heartbeat = test::make_heartbeat_without_tasks(3, 41, 1ull << 52);
     heartbeat.machine = "i-000231";
     heartbeat.address = "10.1.0.232:9000";
     heartbeat.type = "g8";
--- a/tests/worker_channel_simulation_test.cpp
+++ b/tests/worker_channel_simulation_test.cpp
@@ -16,7 +16,7 @@
 using test::ClusterSimulation;
 using test::Faults;
 using test::job;
-using test::report;
+using test::make_heartbeat_without_tasks;
 
 // Returns a cluster in which a service of four replicas, a gang and an array are running on several
 // machines.
@@ -81,13 +81,15 @@
 TEST(WorkerChannel, AMachineWithoutCommandsKeepsItsTasksAndGetsNoNewOnes) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
-    EXPECT_EQ(channel.on_command_reply(report(1, 1, 10), {}, 1'000, 1'001),
+    EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(1, 1, 10), {}, 1'000, 1'001),
               EvidenceFreshness::fresh);
     channel.on_command_lost(2'000);
-    EXPECT_EQ(channel.on_heartbeat(report(1, 2, 10), true, 6'900), EvidenceFreshness::fresh);
+    EXPECT_EQ(channel.on_heartbeat(make_heartbeat_without_tasks(1, 2, 10), true, 6'900),
+              EvidenceFreshness::fresh);
     EXPECT_EQ(channel.reachability(5'000, 7'000), Reachability::reachable);
     EXPECT_EQ(channel.reachability(5'000, 7'001), Reachability::replies_only);
-    EXPECT_EQ(channel.on_command_reply(report(1, 3, 10), channel.newest_position(), 7'100, 7'101),
+    EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(1, 3, 10),
+                                       channel.newest_position(), 7'100, 7'101),
               EvidenceFreshness::fresh);
     EXPECT_EQ(channel.reachability(5'000, 7'102), Reachability::reachable);
     for (std::uint64_t seed : {14, 15, 16}) {
--- a/tests/worker_channel_test.cpp
+++ b/tests/worker_channel_test.cpp
@@ -15,7 +15,7 @@
 using machines::MessagePosition;
 using machines::Reachability;
 using machines::WorkerChannel;
-using test::report;
+using test::make_heartbeat_without_tasks;
 
 struct FreshnessCounts {
     std::size_t fresh = 0, new_incarnation = 0, duplicate = 0, unordered = 0;
@@ -171,11 +171,13 @@
 TEST(WorkerChannel, AMachineIsOutboundOnlyUntilSomethingReachesIt) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
-    EXPECT_EQ(channel.on_command_reply(report(1, 1, 10), {}, 1'000, 1'001),
+    EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(1, 1, 10), {}, 1'000, 1'001),
               EvidenceFreshness::fresh);
     for (Millis now : {4'000, 7'000, 10'000, 13'000}) {
-        EXPECT_EQ(channel.on_heartbeat(report(1, static_cast<std::uint64_t>(now), 10), false, now),
-                  EvidenceFreshness::fresh);
+        EXPECT_EQ(
+            channel.on_heartbeat(
+                make_heartbeat_without_tasks(1, static_cast<std::uint64_t>(now), 10), false, now),
+            EvidenceFreshness::fresh);
         channel.on_reply_sent(20'000, now);
     }
     EXPECT_EQ(channel.reachability(5'000, 5'000), Reachability::reachable);
@@ -183,7 +185,8 @@
     // Replies that do not arrive must not extend its assumed lease forever.
     EXPECT_TRUE(channel.should_reply(20'000, 14'000));
     EXPECT_FALSE(channel.should_reply(20'000, 14'001));
-    EXPECT_EQ(channel.on_heartbeat(report(1, 13'001, 10), true, 14'000), EvidenceFreshness::fresh);
+    EXPECT_EQ(channel.on_heartbeat(make_heartbeat_without_tasks(1, 13'001, 10), true, 14'000),
+              EvidenceFreshness::fresh);
     EXPECT_EQ(channel.reachability(5'000, 14'000), Reachability::reachable);
     EXPECT_TRUE(channel.should_reply(20'000, 14'000));
 }
@@ -191,10 +194,11 @@
 TEST(WorkerChannel, ALeaseThatEndsDespiteRepliesShowsThatRepliesAreLost) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
-    EXPECT_EQ(channel.on_command_reply(report(1, 1, 10), {}, 1'000, 1'001),
+    EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(1, 1, 10), {}, 1'000, 1'001),
               EvidenceFreshness::fresh);
     channel.on_reply_sent(20'000, 15'000);
-    EXPECT_EQ(channel.on_command_reply(report(2, 9, 10), channel.newest_position(), 22'000, 22'001),
+    EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(2, 9, 10),
+                                       channel.newest_position(), 22'000, 22'001),
               EvidenceFreshness::fresh);
     EXPECT_EQ(channel.reachability(5'000, 22'001),
               Reachability::outbound_only);  // commands do arrive
@@ -203,10 +207,11 @@
     // arrive.
     WorkerChannel frozen;
     frozen.take_control(10, 1'000);
-    EXPECT_EQ(frozen.on_command_reply(report(1, 1, 10), {}, 1'000, 1'001),
+    EXPECT_EQ(frozen.on_command_reply(make_heartbeat_without_tasks(1, 1, 10), {}, 1'000, 1'001),
               EvidenceFreshness::fresh);
     frozen.on_reply_sent(20'000, 15'000);
-    EXPECT_EQ(frozen.on_command_reply(report(2, 9, 10), frozen.newest_position(), 36'000, 36'001),
+    EXPECT_EQ(frozen.on_command_reply(make_heartbeat_without_tasks(2, 9, 10),
+                                      frozen.newest_position(), 36'000, 36'001),
               EvidenceFreshness::fresh);
     EXPECT_EQ(frozen.reachability(5'000, 36'001), Reachability::reachable);
 }
