--- a/tests/simulated_cloud.cpp
+++ b/tests/simulated_cloud.cpp
@@ -14,7 +14,8 @@
 cloud::ProvisionReply SimulatedCloud::provision(const ProvisionRequest& request) {
     cloud::ProvisionReply reply;
     reply.result = cloud::ProvisionReply::Result::provisioned;
-    if (const auto known = rentals_.find(request.name); known != rentals_.end()) {
+    if (const auto known = provisioned_by_request_.find(request.name);
+        known != provisioned_by_request_.end()) {
         const ProvisionRequest& first = known->second.request;
         EXPECT_EQ(std::tie(first.type, first.zone, first.spot, first.count),
                   std::tie(request.type, request.zone, request.spot, request.count))
@@ -30,7 +31,7 @@
     }
     for (std::uint32_t i = 0; i < request.count; ++i)
         reply.machines.push_back(provision_machine(request));
-    rentals_[request.name] = {request, reply.machines};
+    provisioned_by_request_[request.name] = {request, reply.machines};
     return reply;
 }
 
--- a/tests/simulated_cloud.h
+++ b/tests/simulated_cloud.h
@@ -55,7 +55,7 @@
     SimulationContext& context_;
     SimulatedWorkers& workers_;
     std::function<void(const std::string& machine)> on_booted_;
-    std::map<std::string, Rental> rentals_;
+    std::map<std::string, Rental> provisioned_by_request_;
     std::size_t provisioned_machines_ = 0;
 };
 
