--- a/tests/simulated_cloud.h
+++ b/tests/simulated_cloud.h
@@ -45,7 +45,7 @@
     [[nodiscard]] std::size_t provisioned_machines() const { return provisioned_machines_; }
 
   private:
-    struct Rental {
+    struct ProvisionedRequest {
         ProvisionRequest request;
         std::vector<std::string> machines;
     };
@@ -55,7 +55,7 @@
     SimulationContext& context_;
     SimulatedWorkers& workers_;
     std::function<void(const std::string& machine)> on_booted_;
-    std::map<std::string, Rental> provisioned_by_request_;
+    std::map<std::string, ProvisionedRequest> provisioned_by_request_;
     std::size_t provisioned_machines_ = 0;
 };
 
