--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -286,7 +286,7 @@
 // A new leader's first instance list may show machines that its predecessor has just released,
 // possibly as booting. No job may wait for them.
 TEST(Reachability, NoJobWaitsForMachinesOfAStaleCloudList) {
-    std::size_t gone_but_listed = 0;
+    std::size_t released_but_listed = 0;
     for_each_seed(520, 30, [&](std::uint64_t seed) {
         Faults faults;
         faults.cloud_list_lag = 3'000;
@@ -299,16 +299,16 @@
             simulation.run_until(simulation.now() + 100);
         // Its release is no longer on record.
         simulation.run_until(simulation.now() + 3'000 + static_cast<Millis>(seed % 20) * 100);
-        const std::size_t before = simulation.coverage().gone_but_listed;
+        const std::size_t before = simulation.coverage().released_but_listed;
         simulation.fail_over();
         simulation.run_until(simulation.now() + 500);
-        gone_but_listed += simulation.coverage().gone_but_listed - before;
+        released_but_listed += simulation.coverage().released_but_listed - before;
         simulation.submit(job("job-2", "standing", 1, 4));
         simulation.run_until(simulation.now() + 30'000);
         EXPECT_EQ(simulation.running_tasks("a") + simulation.running_tasks("b"), 1u)
             << simulation.describe_cluster_state();
     });
-    EXPECT_GT(gone_but_listed, 10u);
+    EXPECT_GT(released_but_listed, 10u);
 }
 
 // An instance list may show an older state than the list before. Only a list that is certainly
--- a/tests/simulated_cloud.cpp
+++ b/tests/simulated_cloud.cpp
@@ -93,7 +93,7 @@
     for (const auto& [name, machine] : workers_.all()) {
         const auto it = listed.find(name);
         if (machine->removed) {
-            coverage.gone_but_listed += it != listed.end() ? 1 : 0;
+            coverage.released_but_listed += it != listed.end() ? 1 : 0;
         } else if (!machine->tasks.empty()) {
             coverage.working_but_unlisted += it == listed.end() ? 1 : 0;
             coverage.working_but_listed_booting +=
--- a/tests/simulation_coverage.h
+++ b/tests/simulation_coverage.h
@@ -19,7 +19,7 @@
     std::size_t unrecorded_completions = 0;  ///< tasks done but not recorded when a leader crashed
     std::size_t working_but_unlisted = 0;    ///< machines with tasks missing in the cloud's list
     std::size_t working_but_listed_booting = 0;         ///< machines with tasks listed as booting
-    std::size_t gone_but_listed = 0;                    ///< released machines still listed
+    std::size_t released_but_listed = 0;                ///< released machines still listed
     std::size_t heartbeats_before_provision_reply = 0;  ///< from machines not yet named in a reply
     std::map<std::string, std::size_t>
         lost_commit_replies;      ///< commits applied whose reply was lost, by commit_kind()
