--- a/tests/combined_faults.cpp
+++ b/tests/combined_faults.cpp
@@ -4,7 +4,7 @@
 
 namespace nickelramp::test {
 
-Millis below(Millis limit, std::mt19937_64& random) {
+Millis bounded_random(Millis limit, std::mt19937_64& random) {
     return static_cast<Millis>(random() % limit);
 }
 
@@ -65,19 +65,19 @@
         if (more) more(simulation, random);
         switch (random() % 4) {
             case 0:
-                simulation.reject_leader_at_state_service(2'000 + below(38'000, random));
+                simulation.reject_leader_at_state_service(2'000 + bounded_random(38'000, random));
                 break;
             case 1:
                 simulation.crash_leader();
                 break;
             case 2:
-                simulation.freeze_leader(1'000 + below(20'000, random));
+                simulation.freeze_leader(1'000 + bounded_random(20'000, random));
                 break;
             default:
-                simulation.take_state_service_down(500 + below(15'000, random));
+                simulation.take_state_service_down(500 + bounded_random(15'000, random));
                 break;
         }
-        simulation.run_until(simulation.now() + 3'000 + below(12'000, random));
+        simulation.run_until(simulation.now() + 3'000 + bounded_random(12'000, random));
     }
     expect_all_finish(simulation, ids, 300'000);
     return simulation.coverage();
--- a/tests/combined_faults.h
+++ b/tests/combined_faults.h
@@ -12,7 +12,7 @@
 namespace nickelramp::test {
 
 /// Returns a random duration from 0 to `limit` - 1.
-Millis below(Millis limit, std::mt19937_64& random);
+Millis bounded_random(Millis limit, std::mt19937_64& random);
 
 /// Submits arrays, gangs and services in turn (job-0, job-1, ...) and advances the simulation to
 /// 45 s, so that all of them run. Returns the ids of the jobs.
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace nickelramp;
 using test::add;
-using test::below;
+using test::bounded_random;
 using test::ClusterSimulation;
 using test::expect_all_finish;
 using test::Faults;
@@ -30,10 +30,10 @@
         simulation_.simulate_leader_leases();
         ids_ = run_mixed_jobs(simulation_, random_, 9);
         const Millis cancel = seconds(test::simulation_settings().cancel_s);
-        begins_ = simulation_.now() + below(3'000, random_);
-        rejection_ = 2'000 + below(38'000, random_);
-        outage_length_ = cancel + 2'000 + below(15'000, random_);
-        outage_at_ = begins_ + below(16'000, random_);
+        begins_ = simulation_.now() + bounded_random(3'000, random_);
+        rejection_ = 2'000 + bounded_random(38'000, random_);
+        outage_length_ = cancel + 2'000 + bounded_random(15'000, random_);
+        outage_at_ = begins_ + bounded_random(16'000, random_);
     }
 
     // Runs until the store is available again, and requests cancellations at random times.
@@ -44,7 +44,7 @@
         terms_ = simulation_.term_count();
         for (const std::string& id : ids_) {
             if (random_() % 5 != 0) simulation_.request_cancel_until_answered(id);
-            const Millis next = simulation_.now() + below(2'400, random_);
+            const Millis next = simulation_.now() + bounded_random(2'400, random_);
             if (!down_ && next >= outage_at_) {
                 simulation_.run_until(std::max(simulation_.now(), outage_at_));
                 begin_outage();
@@ -94,7 +94,8 @@
     void block_commands() {
         for (const std::string& name : simulation_.working_machines()) {
             if (commands_blocked_ && (seed_ % 6 == 0 || random_() % 2 == 0))
-                simulation_.block_commands(name, begins_ + 20'000 + below(90'000, random_));
+                simulation_.block_commands(name,
+                                           begins_ + 20'000 + bounded_random(90'000, random_));
         }
     }
 
@@ -106,7 +107,7 @@
 
     void add_third_fault(Millis now) {
         if (seed_ % 7 == 0) simulation_.crash_leader();
-        if (seed_ % 7 == 1) simulation_.freeze_leader(below(30'000, random_));
+        if (seed_ % 7 == 1) simulation_.freeze_leader(bounded_random(30'000, random_));
         if (seed_ % 7 == 2)
             simulation_.partition({"b", 0.5, false, true, false, now, now + 40'000});
     }
@@ -178,7 +179,7 @@
         else
             simulation.block_inbound(unreachable, kNever);
         for (int terms = 0; terms < 3; ++terms) {
-            simulation.run_until(simulation.now() + below(6'000, random));
+            simulation.run_until(simulation.now() + bounded_random(6'000, random));
             if (terms == 1 && seed % 2 == 0)
                 simulation.reject_leader_at_state_service(30'000);
             else
@@ -208,7 +209,7 @@
         for (const std::string& name : simulation.working_machines())
             if (seed % 2 == 0) simulation.block_commands(name, simulation.now() + 50'000);
         for (const std::string& id : ids) {
-            simulation.run_until(simulation.now() + below(6'000, random));
+            simulation.run_until(simulation.now() + bounded_random(6'000, random));
             if (random() % 2 == 0) simulation.request_cancel_until_answered(id);
         }
         simulation.run_until(simulation.now() + 60'000);
@@ -227,12 +228,12 @@
         if (n % 2 == 0) spec["crew"] = "blue";
         if (n % 3 == 0) spec["scatter"] = true;
         simulation.submit(spec);
-        simulation.run_until(simulation.now() + 500 + below(4'000, random));
+        simulation.run_until(simulation.now() + 500 + bounded_random(4'000, random));
         if (simulation.now() <= 20'000 || random() % 4 != 0) continue;
         if (random() % 2 == 0)
             simulation.crash_leader();
         else
-            simulation.reject_leader_at_state_service(5'000 + below(20'000, random));
+            simulation.reject_leader_at_state_service(5'000 + bounded_random(20'000, random));
     }
     return ids;
 }
@@ -345,7 +346,8 @@
         if (n % 2 == 0) spec["crew"] = "blue";
         simulation_.submit(spec);
         if (n != kGang && random_() % 4 == 0)
-            cancellations_.emplace(simulation_.now() + below(12'000, random_), ids_.back());
+            cancellations_.emplace(simulation_.now() + bounded_random(12'000, random_),
+                                   ids_.back());
     }
 
     void send_due_cancellations() {
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using namespace nickelramp;
-using test::below;
+using test::bounded_random;
 using test::ClusterSimulation;
 using test::Faults;
 
@@ -38,23 +38,23 @@
     return {
         {"store refuses leader",
          [](ClusterSimulation& simulation, std::mt19937_64& random) {
-             simulation.reject_leader_at_state_service(2'000 + below(40'000, random));
+             simulation.reject_leader_at_state_service(2'000 + bounded_random(40'000, random));
          }},
         {"store down",
          [](ClusterSimulation& simulation, std::mt19937_64& random) {
-             simulation.take_state_service_down(1'000 + below(45'000, random));
+             simulation.take_state_service_down(1'000 + bounded_random(45'000, random));
          }},
         {"leader crashes",
          [](ClusterSimulation& simulation, std::mt19937_64&) { simulation.crash_leader(); }},
         {"leader crashes twice",
          [](ClusterSimulation& simulation, std::mt19937_64& random) {
              simulation.crash_leader();
-             simulation.run_until(simulation.now() + 4'000 + below(1'000, random));
+             simulation.run_until(simulation.now() + 4'000 + bounded_random(1'000, random));
              simulation.crash_leader();
          }},
         {"leader freezes",
          [](ClusterSimulation& simulation, std::mt19937_64& random) {
-             simulation.freeze_leader(1'000 + below(40'000, random));
+             simulation.freeze_leader(1'000 + bounded_random(40'000, random));
          }},
     };
 }
@@ -70,12 +70,14 @@
         lasting_fault("late writes", late_writes),
         machine_fault("outbound only", 3,
                       [](auto& simulation, auto& random, const std::string& machine) {
-                          const Millis until = simulation.now() + 5'000 + below(60'000, random);
+                          const Millis until =
+                              simulation.now() + 5'000 + bounded_random(60'000, random);
                           simulation.block_inbound(machine, until);
                       }),
         machine_fault("no commands", 2,
                       [](auto& simulation, auto& random, const std::string& machine) {
-                          const Millis until = simulation.now() + 5'000 + below(60'000, random);
+                          const Millis until =
+                              simulation.now() + 5'000 + bounded_random(60'000, random);
                           simulation.block_commands(machine, until);
                       }),
     };
@@ -86,13 +88,13 @@
         {"zone partitioned, commands delayed",
          [](ClusterSimulation& simulation, std::mt19937_64& random) {
              const bool includes_controller = random() % 2 == 0;
-             const Millis until = simulation.now() + 5'000 + below(50'000, random);
+             const Millis until = simulation.now() + 5'000 + bounded_random(50'000, random);
              simulation.partition(
                  {"b", 1, false, true, includes_controller, simulation.now(), until});
          }},
         {"machines freeze",
          [](ClusterSimulation& simulation, std::mt19937_64& random) {
-             const Millis until = simulation.now() + 3'000 + below(40'000, random);
+             const Millis until = simulation.now() + 3'000 + bounded_random(40'000, random);
              simulation.partition({"a", 0.4, true, false, false, simulation.now(), until});
          }},
         machine_fault("machines die", 4,
