--- a/tests/golden_http_test.cpp
+++ b/tests/golden_http_test.cpp
@@ -37,7 +37,8 @@
         Listener observer(kPort, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         {
             auto sender = send();
-            ASSERT_TRUE(test::run_until(&loop, [&] { return observer.heard(); })) << entry;
+            ASSERT_TRUE(test::run_until(&loop, [&] { return observer.request_received(); }))
+                << entry;
         }
         text(entry, observer.request());
         uv_run(&loop, UV_RUN_NOWAIT);
--- a/tests/golden_loopback.h
+++ b/tests/golden_loopback.h
@@ -18,8 +18,8 @@
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    bool heard() const { return request_received_; }
-    const std::string& request() const { return request_; }  ///< valid once heard()
+    bool request_received() const { return request_received_; }
+    const std::string& request() const { return request_; }  ///< valid once request_received()
 
   private:
     void run();
