--- a/tests/golden_loopback.cpp
+++ b/tests/golden_loopback.cpp
@@ -23,7 +23,7 @@
 }
 
 // Returns whether the request has its head and as many body bytes as Content-Length states.
-bool whole(const std::string& request) {
+bool is_complete(const std::string& request) {
     const std::string mark = "Content-Length: ";
     const auto head = request.find("\r\n\r\n");
     if (head == std::string::npos) return false;
@@ -75,8 +75,8 @@
     while (!request_received_) {
         const int connection = accept(socket_, nullptr, nullptr);
         if (connection < 0) return;
-        const std::string in = read_from(connection, whole);
-        if (whole(in)) {
+        const std::string in = read_from(connection, is_complete);
+        if (is_complete(in)) {
             write_to(connection, answer_);
             request_ = in;
             request_received_ = true;
