--- a/tests/golden_program_test.cpp
+++ b/tests/golden_program_test.cpp
@@ -181,7 +181,7 @@
                  (map ? map->dump() + "\n" + test::golden::shown_bytes(reply.body) : reply.body));
     }
     // Starts the controller and waits until it leads and has written the first records of its term.
-    bool leads() {
+    bool start_and_wait_for_leader() {
         EXPECT_EQ(controllers->start_all(), "");
         return test::run_until(&loop, [&] { return state->keys() >= kFirstRecords; });
     }
@@ -204,7 +204,7 @@
 }
 
 TEST_F(GoldenController, RecordsOfANewLeaderKeepKeysAndBytes) {
-    ASSERT_TRUE(leads());
+    ASSERT_TRUE(start_and_wait_for_leader());
     value("lead/seat", state->value("lead/seat"));
     value("lead/term", state->value("lead/term"));
     value("fleet/types", state->value("fleet/types"));
@@ -220,7 +220,7 @@
 }
 
 TEST_F(GoldenController, PagesOfALeaderKeepTheirText) {
-    ASSERT_TRUE(leads());
+    ASSERT_TRUE(start_and_wait_for_leader());
     ASSERT_TRUE(test::run_until(&loop, [&] { return ask("GET", "/ready").status == 200; }));
     Json status;
     ASSERT_TRUE(test::run_until(&loop, [&] {
@@ -254,7 +254,7 @@
 }
 
 TEST_F(GoldenController, HeartbeatsAreAnswered) {
-    ASSERT_TRUE(leads());
+    ASSERT_TRUE(start_and_wait_for_leader());
     ASSERT_TRUE(test::run_until(&loop, [&] {
         const Json status = Json::parse(ask("GET", "/admin/status").body, nullptr, false);
         return status.contains("book");
