--- a/tests/golden_transactions_test.cpp
+++ b/tests/golden_transactions_test.cpp
@@ -27,8 +27,8 @@
         return reply;
     }
     // Records the oldest pending transaction and answers it.
-    void take(const std::string& entry, ControlFixture& fixture, Millis now,
-              std::uint64_t revision) {
+    void record_and_answer(const std::string& entry, ControlFixture& fixture, Millis now,
+                           std::uint64_t revision) {
         ASSERT_FALSE(fixture.gateway.commits.empty()) << entry;
         transaction(entry, fixture.gateway.commits.front().transaction);
         RecordingGateway::answer(fixture.gateway.commits, now, committed(revision));
@@ -42,7 +42,7 @@
     jobs::Job& j = fixture.add_job(job("job-1", "sweep", 70, 0), 1000, 31);
     fixture.scheduler.place_job(j, 1000);
     fixture.checkpoint_writer.write(j, 1000);
-    take("starts", fixture, 1010, 80);
+    record_and_answer("starts", fixture, 1010, 80);
     // Some tasks have completed, others have failed and wait for their next attempt.
     std::size_t n = 0;
     for (auto& attempt : std::vector<jobs::Attempt*>{j.attempts[0].get(), j.attempts[1].get(),
@@ -55,7 +55,7 @@
             *fixture.cluster.machine_of(*attempt), 1100);
     }
     fixture.checkpoint_writer.write(j, 30'000);
-    take("completions and failures", fixture, 30'010, 90);
+    record_and_answer("completions and failures", fixture, 30'010, 90);
 }
 
 TEST_F(GoldenTransactions, CheckpointOfAGangAndAService) {
@@ -64,13 +64,13 @@
     jobs::Job& gang = fixture.add_job(job("job-1", "ensemble", 3, 4), 1000, 31);
     fixture.scheduler.place_job(gang, 1000);
     fixture.checkpoint_writer.write(gang, 1000);
-    take("gang", fixture, 1010, 80);
+    record_and_answer("gang", fixture, 1010, 80);
     ControlFixture q;
     q.add_ready_machine("m-0", "plain", "a");
     jobs::Job& service = q.add_job(job("job-2", "standing", 2, 0), 1000, 32);
     q.scheduler.place_job(service, 1000);
     q.checkpoint_writer.write(service, 1000);
-    take("service of production", q, 1010, 80);
+    record_and_answer("service of production", q, 1010, 80);
 }
 
 TEST_F(GoldenTransactions, EndsOfJobs) {
@@ -86,10 +86,10 @@
         attempt, {"job-1", 0, 1, wire::TaskPhase::exited, wire::ExitCause::done, false},
         *fixture.cluster.machine_of(attempt), 1100);
     fixture.lifecycle.advance_job(j, 1100);
-    take("done", fixture, 1110, 90);
+    record_and_answer("done", fixture, 1110, 90);
     jobs::Job& never = fixture.add_job(job("job-2", "sweep", 3, 0), 1000, 32);
     fixture.lifecycle.cancel(never, 2000);
-    take("cancelled before it began", fixture, 2010, 91);
+    record_and_answer("cancelled before it began", fixture, 2010, 91);
 }
 
 TEST_F(GoldenTransactions, EndOfAJobWithMoreRecordsThanATransactionTakes) {
@@ -98,9 +98,9 @@
     for (std::uint32_t chunk = 0; chunk < 10; ++chunk)
         fixture.lifecycle.load_checkpoint("job-1", chunk, {0, {}}, 40 + chunk, 1, 1000);
     fixture.lifecycle.cancel(j, 2000);
-    take("cancelled", fixture, 2010, 90);
+    record_and_answer("cancelled", fixture, 2010, 90);
     fixture.lifecycle.delete_leftover_records(3000);
-    take("leftovers", fixture, 3010, 91);
+    record_and_answer("leftovers", fixture, 3010, 91);
 }
 
 TEST_F(GoldenTransactions, ShardLeasesAndReclaims) {
@@ -110,13 +110,13 @@
     fixture.shard_lease_writer.table().add_machine({"m-0", "m-0:1", "g4", "a", false});
     fixture.shard_lease_writer.table().add_machine({"m-1", "m-1:1", "plain", "b", true});
     fixture.shard_lease_writer.write(500);
-    take("first", fixture, 510, 80);
+    record_and_answer("first", fixture, 510, 80);
     const std::uint32_t lent = fixture.shard_lease_writer.table().lease_out({"m-1"}, "holder-0");
     fixture.shard_lease_writer.write(1000);
-    take("lent", fixture, 1010, 81);
+    record_and_answer("lent", fixture, 1010, 81);
     fixture.shard_lease_writer.table().reclaim(lent);
     fixture.shard_lease_writer.write(2000);
-    take("taken back", fixture, 2010, 82);
+    record_and_answer("taken back", fixture, 2010, 82);
     shards::Shard earlier;
     earlier.version = 70;
     earlier.holder = "other";
@@ -124,7 +124,7 @@
     earlier.members = {{"m-9", "m-9:1", "g4", "a", false}};
     fixture.shard_lease_writer.table().load_shard(9, earlier);
     fixture.shard_lease_writer.write(3000);
-    take("of an earlier term", fixture, 3010, 83);
+    record_and_answer("of an earlier term", fixture, 3010, 83);
 }
 
 TEST_F(GoldenTransactions, IntentsAndThoseOfEarlierTerms) {
@@ -135,12 +135,12 @@
     ASSERT_TRUE(fixture.intent_log.add(Role::scale_out, {"t7f60-1", "plain", "b", true, 3}));
     ASSERT_TRUE(fixture.intent_log.add(Role::scale_in, {"m-1", "", "", false, 0}));
     fixture.intent_log.write(1000);
-    take("renting", fixture, 1010, 80);
-    take("returning", fixture, 1010, 81);
+    record_and_answer("renting", fixture, 1010, 80);
+    record_and_answer("returning", fixture, 1010, 81);
     fixture.intent_log.remove(Role::scale_in, "m-1");
     fixture.intent_log.write(5000);
     fixture.intent_log.write(9000);
-    take("returning, settled", fixture, 9010, 82);
+    record_and_answer("returning, settled", fixture, 9010, 82);
 }
 
 TEST_F(GoldenTransactions, ConditionsOfAShardHolder) {
@@ -178,7 +178,7 @@
     status.clock_ms = 900;
     fixture.shard_allocator.on_peer_status(status, 1000);
     fixture.shard_allocator.allocate_shards(1000);
-    take("block", fixture, 1010, 81);
+    record_and_answer("block", fixture, 1010, 81);
     fixture.shard_allocator.delegate_job(fixture.add_job(job("job-2", "sweep", 8, 0)), 1100);
     const auto grants = fixture.shard_allocator.renewals(900, 1200);
     ASSERT_EQ(grants.size(), 1u);
