--- a/tests/golden_admin_test.cpp
+++ b/tests/golden_admin_test.cpp
@@ -220,8 +220,8 @@
         return out.dump(1);
     }
     wire::Settings settings = test::simulation_settings();
-    test::RecordingGateway post;
-    control::ControlLoop control_loop{settings, {7, "lead/term", 70}, post, 1000};
+    test::RecordingGateway gateway;
+    control::ControlLoop control_loop{settings, {7, "lead/term", 70}, gateway, 1000};
 };
 
 TEST_F(GoldenAdmin, OverviewOfALeaderKeepsItsText) {
@@ -238,10 +238,10 @@
     Leader leader;
     leader.control_loop.tick(1200);
     std::size_t n = 0;
-    for (const auto& [txn, done] : leader.post.commits)
+    for (const auto& [txn, done] : leader.gateway.commits)
         transaction("transaction " + std::to_string(n++), txn);
     std::string direct;
-    for (const auto& d : leader.post.command_messages)
+    for (const auto& d : leader.gateway.command_messages)
         direct += d.machine + " " +
                   test::golden::shown_bytes(
                       wire::encode_direct_commands(d.token, d.incarnation, d.commands)) +
