--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -87,10 +87,10 @@
               "id        n\njob-1     7\nx      1000\n");
 }
 
-const std::string kThere = "127.0.0.1:39310", kNowhere = "127.0.0.1:39311";
+const std::string kServiceAddress = "127.0.0.1:39310", kNowhere = "127.0.0.1:39311";
 
 struct CtlOnLoopback : testing::Test {
-    test::CtlService service{kThere};
+    test::CtlService service{kServiceAddress};
     std::vector<net::Response>& answers = service.answers;
     std::string output, err_output;
     int ctl(const std::vector<std::string>& arguments, const std::string& input = "") {
@@ -115,7 +115,7 @@
     answers = {cbor(503, {{"error", "try again"}}, 1),
                cbor(201, wire::encode_job_answer("job-5", wire::JobStatus::pending))};
     const std::string job = test::job("job-5", "sweep", 2, 0).dump();
-    EXPECT_EQ(ctl({"--controller", kNowhere, "--controller", kThere, "submit", "-"}, job),
+    EXPECT_EQ(ctl({"--controller", kNowhere, "--controller", kServiceAddress, "submit", "-"}, job),
               ctl::kExitOk);
     EXPECT_EQ(output, "job-5 is pending\n");
     EXPECT_EQ(requested(), (std::vector<std::string>{"POST /work", "POST /work"}));
@@ -124,7 +124,7 @@
 TEST_F(CtlOnLoopback, PassesOnRejectionsOfTheService) {
     answers = {cbor(422, {{"error", "unknown team"}})};
     const std::string job = test::job("job-5", "sweep", 2, 0).dump();
-    EXPECT_EQ(ctl({"--controller", kThere, "submit", "-"}, job), ctl::kExitRejected);
+    EXPECT_EQ(ctl({"--controller", kServiceAddress, "submit", "-"}, job), ctl::kExitRejected);
     EXPECT_EQ(err_output, "the service says 422: unknown team\n");
     EXPECT_EQ(requested().size(), 1u);
 }
@@ -132,7 +132,8 @@
 TEST_F(CtlOnLoopback, WatchesAJobUntilItFinishes) {
     answers = {cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::running, {{1, 2}})),
                cbor(200, wire::encode_job_answer("job-5", wire::JobStatus::done, {{3, 0}}))};
-    EXPECT_EQ(ctl({"--controller", kThere, "show", "job-5", "--watch", "0.1"}), ctl::kExitOk);
+    EXPECT_EQ(ctl({"--controller", kServiceAddress, "show", "job-5", "--watch", "0.1"}),
+              ctl::kExitOk);
     EXPECT_EQ(
         output,
         "job-5 is running, 1 tasks done, 2 running\njob-5 is done, 3 tasks done, 0 running\n");
@@ -155,7 +156,8 @@
                          {"why", "allowed machines are full"}}}}};
     answers = {{200, follower.dump(), 0, "application/json"},
                {200, leader.dump(), 0, "application/json"}};
-    EXPECT_EQ(ctl({"--controller", kThere, "--controller", kThere, "late"}), ctl::kExitOk);
+    EXPECT_EQ(ctl({"--controller", kServiceAddress, "--controller", kServiceAddress, "late"}),
+              ctl::kExitOk);
     EXPECT_EQ(output,
               "id     class  objective  within_s  left_s  why\n"
               "job-9  train  finish           60    -2.5  allowed machines are full\n");
@@ -191,9 +193,9 @@
     answers.push_back(json(200, plan));
     answers.push_back(
         json(200, {{"id", "up"}, {"state", "refused"}, {"steps", {step("m-2", 7.5)}}}));
-    EXPECT_EQ(
-        ctl({"--controller", kThere, "plan", "make", "--machine", "m-1", "--machine", "m-2", "up"}),
-        ctl::kExitRejected);
+    EXPECT_EQ(ctl({"--controller", kServiceAddress, "plan", "make", "--machine", "m-1", "--machine",
+                   "m-2", "up"}),
+              ctl::kExitRejected);
     EXPECT_EQ(output,
               "plan up is refused: 2 machines, empty after 7.5 s, costs 0 more\n\n"
               "machine  type  zone  wave  tasks  from_s  empty_s\n"
@@ -219,13 +221,13 @@
              {},
              {"dance"},
              {"--controller", "here", "status"},
-             {"--controller", kThere, "show", "no id"},
-             {"--controller", kThere, "submit", "/nowhere/job.json"},
-             {"--controller", kThere, "submit", "-"},
-             {"--controller", kThere, "settings", "lent_machines"},
-             {"--controller", kThere, "settings", "lent_machines", "many"},
+             {"--controller", kServiceAddress, "show", "no id"},
+             {"--controller", kServiceAddress, "submit", "/nowhere/job.json"},
+             {"--controller", kServiceAddress, "submit", "-"},
+             {"--controller", kServiceAddress, "settings", "lent_machines"},
+             {"--controller", kServiceAddress, "settings", "lent_machines", "many"},
              {"--config", "/nowhere.toml", "status"},
-             {"--controller", kThere, "--give-up", "0", "status"}}) {
+             {"--controller", kServiceAddress, "--give-up", "0", "status"}}) {
         EXPECT_EQ(ctl(words, "{\"id\": 5}"), ctl::kExitUsage)
             << (words.empty() ? "" : words.back());
         EXPECT_FALSE(err_output.empty());
--- a/tests/golden_ctl_test.cpp
+++ b/tests/golden_ctl_test.cpp
@@ -13,7 +13,7 @@
 using namespace nickelramp;
 using wire::Json;
 
-constexpr const char* kThere = "127.0.0.1:39321";
+constexpr const char* kServiceAddress = "127.0.0.1:39321";
 constexpr const char* kNowhere = "127.0.0.1:39322";
 
 Json full_status() {
@@ -92,7 +92,7 @@
   protected:
     // Runs a command against the prepared answers and records its requests, output and exit code.
     void run(const std::string& entry, std::vector<std::string> arguments,
-             const std::string& input = "", const std::string& controller = kThere) {
+             const std::string& input = "", const std::string& controller = kServiceAddress) {
         if (!controller.empty()) arguments.insert(arguments.begin(), {"--controller", controller});
         service.requests.clear();
         const test::CtlRun run = service.run(arguments, input);
@@ -108,7 +108,7 @@
     void answer_cbor(int status, const Json& body) {
         answers = {{status, wire::encode(body), 0, "application/cbor"}};
     }
-    test::CtlService service{kThere};
+    test::CtlService service{kServiceAddress};
     std::vector<net::Response>& answers = service.answers;
 };
 
