--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -87,7 +87,7 @@
               "id        n\njob-1     7\nx      1000\n");
 }
 
-const std::string kServiceAddress = "127.0.0.1:39310", kNowhere = "127.0.0.1:39311";
+const std::string kServiceAddress = "127.0.0.1:39310", kClosedAddress = "127.0.0.1:39311";
 
 struct CtlOnLoopback : testing::Test {
     test::CtlService service{kServiceAddress};
@@ -115,8 +115,9 @@
     answers = {cbor(503, {{"error", "try again"}}, 1),
                cbor(201, wire::encode_job_answer("job-5", wire::JobStatus::pending))};
     const std::string job = test::job("job-5", "sweep", 2, 0).dump();
-    EXPECT_EQ(ctl({"--controller", kNowhere, "--controller", kServiceAddress, "submit", "-"}, job),
-              ctl::kExitOk);
+    EXPECT_EQ(
+        ctl({"--controller", kClosedAddress, "--controller", kServiceAddress, "submit", "-"}, job),
+        ctl::kExitOk);
     EXPECT_EQ(output, "job-5 is pending\n");
     EXPECT_EQ(requested(), (std::vector<std::string>{"POST /work", "POST /work"}));
 }
@@ -209,7 +210,7 @@
 }
 
 TEST_F(CtlOnLoopback, ReportsThatNoControllerAnswers) {
-    EXPECT_EQ(ctl({"--controller", kNowhere, "--give-up", "1", "show", "job-5"}),
+    EXPECT_EQ(ctl({"--controller", kClosedAddress, "--give-up", "1", "show", "job-5"}),
               ctl::kExitNoAnswer);
     EXPECT_EQ(err_output.rfind("no controller has answered (", 0), 0u) << err_output;
     EXPECT_EQ(err_output.find("may have been done"), std::string::npos)
--- a/tests/golden_ctl_test.cpp
+++ b/tests/golden_ctl_test.cpp
@@ -14,7 +14,7 @@
 using wire::Json;
 
 constexpr const char* kServiceAddress = "127.0.0.1:39321";
-constexpr const char* kNowhere = "127.0.0.1:39322";
+constexpr const char* kClosedAddress = "127.0.0.1:39322";
 
 Json full_status() {
     return {{"node", "n1"},
@@ -206,7 +206,7 @@
     run("plan at once 0", {"plan", "make", "up", "--zone", "a", "--at-once", "0"});
     run("bad controller", {"status"}, "", "here");
     run("no settings file", {"--config", "/nowhere.toml", "status"}, "", "");
-    run("nobody there", {"--give-up", "1", "show", "job-5"}, "", kNowhere);
+    run("nobody there", {"--give-up", "1", "show", "job-5"}, "", kClosedAddress);
     run("version", {"--version"});
 }
 
