--- a/tests/control_fixture.h
+++ b/tests/control_fixture.h
@@ -1,6 +1,7 @@
-// The components of a leader's term, each of which a test can call at its own interface. Requests
-// to the key-value store, to workers and to the cloud are recorded until the test replies to them.
-// Notifications between components are delivered.
+/// @file
+/// The components of a leader's term, each of which a test can call at its own interface. Requests
+/// to the key-value store, to workers and to the cloud are recorded until the test replies to them.
+/// Notifications between components are delivered.
 #pragma once
 #include <deque>
 #include <functional>
