--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -116,7 +116,7 @@
     ScheduleSlack slack = ScheduleSlack::at_risk;
     Millis unplaced_since = 0;              // first scheduler pass that found no slot; 0: none
     Millis capacity_withheld_since = 0;     // free slots are withheld for other jobs; 0: none are
-    Millis fits_quota_since = 0;            // a waiting gang fits its team's limit; 0: it does not
+    Millis fits_quota_since = 0;            // a waiting gang fits its team's quota; 0: it does not
     bool any_machine_type_allowed = false;  // the cloud offers only types withheld for other jobs
     bool avoids_expensive_machines = false;
     std::vector<Index> reserved_machines;  // machines on which tasks were preempted for it
--- a/src/scheduling/preemption_search.cpp
+++ b/src/scheduling/preemption_search.cpp
@@ -191,7 +191,7 @@
     return cheapest;
 }
 
-// Without this check, a spread gang of which only half fits would keep a zone reserved for ever.
+// Without this check, a spread gang of which only half fits would keep a zone reserved forever.
 bool PreemptionSearch::whole_gang_fits(std::uint32_t tasks) const {
     ZoneTaskCounts zone_tasks = zone_tasks_;
     for (const Candidate& candidate : candidates_) {
