--- a/src/cluster/term_context.h
+++ b/src/cluster/term_context.h
@@ -43,7 +43,7 @@
     [[nodiscard]] const admin::Options& options() const { return options_; }
     void set_options(const admin::Options& options) { options_ = options; }
 
-    // --- the lease
+    // --- validity of the term's lease
 
     /// Returns whether the term certainly still holds its lease. Nothing new is started otherwise.
     /// This compares time points instead of reading a flag that a timer clears: after a freeze of
@@ -51,7 +51,7 @@
     [[nodiscard]] bool lease_confirmed(Millis now) const { return now < lease_confirmed_until_; }
     void confirm_lease_until(Millis until) { lease_confirmed_until_ = until; }
 
-    // --- roles
+    // --- fences of roles
 
     /// Returns the role's fence, which is the version of its record; 0 if no holder is known.
     [[nodiscard]] std::uint64_t role_fence(lease::Role role) const {
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -50,7 +50,7 @@
       started_at_(now),
       inherited_token_(shards::term_token(term_.info().number) - 1) {}
 
-// --- recovery
+// --- recovery of the leader's state, before start()
 
 // Adds a machine that belonged to another term or shard holder until now. It is probed to find out
 // which tasks it runs.
@@ -86,7 +86,7 @@
     tick(now);
 }
 
-// --- events
+// --- events, heartbeats and instance lists
 
 void ControlLoop::on_machine_gone(const Machine& machine) {
     if (machine.type != kNone)
--- a/src/control/heartbeat_reconciler.cpp
+++ b/src/control/heartbeat_reconciler.cpp
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-// --- heartbeats
+// --- replies to heartbeats
 
 HeartbeatReply HeartbeatReconciler::on_heartbeat(const wire::Heartbeat& heartbeat,
                                                  const machines::HeartbeatArrival& arrival,
@@ -144,7 +144,7 @@
     return reply;
 }
 
-// --- proven states
+// --- application of proven task states
 
 void HeartbeatReconciler::on_command_reply(Machine& machine, const wire::Heartbeat& heartbeat,
                                            Millis now) {
@@ -224,7 +224,7 @@
     }
 }
 
-// --- joining
+// --- joining of machines to the term
 
 void HeartbeatReconciler::join_machine(Machine& machine, Millis now) {
     // A machine that was provisioned may join on any heartbeat, because it must confirm its token
--- a/src/lifecycle/job_lifecycle.cpp
+++ b/src/lifecycle/job_lifecycle.cpp
@@ -80,7 +80,7 @@
     advance_job(job, now);
 }
 
-// --- progress
+// --- cancellation and scheduled work of open jobs
 
 void JobLifecycle::cancel(Job& job, Millis now) {
     if (job.state == JobState::cancelled || job.state == JobState::finished) return;
@@ -125,7 +125,7 @@
     schedule_next_wake_up(job, now);
 }
 
-// --- finishing
+// --- final transactions of complete jobs
 
 void JobLifecycle::finish_if_complete(Job& job, Millis now) {
     if (job.state == JobState::open && !job.is_service() && job.completed_tasks == job.spec.tasks)
--- a/src/lifecycle/job_lifecycle.h
+++ b/src/lifecycle/job_lifecycle.h
@@ -60,7 +60,7 @@
     /// scheduling from then on.
     void complete_load(jobs::Job& job, Millis now);
 
-    // --- progress
+    // --- cancellation and scheduled work of open jobs
 
     /// Cancels the job and stops its attempts. Does nothing if it is already cancelled or finished.
     void cancel(jobs::Job& job, Millis now);
--- a/src/sharding/shard_allocator.cpp
+++ b/src/sharding/shard_allocator.cpp
@@ -36,7 +36,7 @@
     return "?";
 }
 
-// --- leasing
+// --- Leasing of shards and delegation of jobs
 
 void ShardAllocator::on_peer_status(const peers::Status& status, Millis now) {
     const bool healthy = status.state_age_ms < readiness::kRecentAnswerMs;
@@ -184,7 +184,7 @@
     return grant;
 }
 
-// --- reading
+// --- Queries
 
 std::string ShardAllocator::holder_of(Index machine) const {
     for (const auto& [shard_number, lease] : leases_) {
--- a/src/sharding/shard_allocator.h
+++ b/src/sharding/shard_allocator.h
@@ -77,8 +77,7 @@
 ///   fences its holder is committed.
 /// - A job is delegated whole, before any of its tasks is started, and counts against its team's
 ///   quota until its holder has finished it or it is reclaimed.
-/// - A delegated job that its holder does not confirm is reclaimed within
-///   jobs::kMaxWithholdingTime.
+/// - A delegated job is reclaimed within jobs::kMaxWithholdingTime unless its holder confirms it.
 /// - While the leader's lease is not confirmed, no shard is leased, renewed or reclaimed.
 ///
 /// Called by the control loop only: on ticks, in each scheduling pass, and for messages from peers.
@@ -99,7 +98,7 @@
           machine_selector_(cluster, forecast),
           rules_(rules) {}
 
-    // --- leasing
+    // --- Leasing of shards and delegation of jobs
 
     /// Records the status of a peer, which may become a holder. The clock value in the status is
     /// the peer's own. The next grant returns it, and the lease of that grant runs from then.
@@ -121,7 +120,7 @@
     [[nodiscard]] std::vector<AddressedGrant> renewals(Millis cancellations_known_until,
                                                        Millis now);
 
-    // --- ending
+    // --- Expiry of shard leases and reclaiming of shards
 
     /// Stops renewing leases that are idle, whose capacity the leader needs or that their holders
     /// do not confirm, and reclaims the shards of expired leases.
@@ -135,7 +134,7 @@
     /// reclaimed shard's jobs begins.
     void on_shard_recorded(std::uint32_t shard_number, Millis now);
 
-    // --- reading
+    // --- Queries
 
     /// Returns the controller that replies to a leased machine's heartbeats; empty if none does.
     [[nodiscard]] std::string holder_of(Index machine) const;
--- a/src/sharding/shard_reclaim.cpp
+++ b/src/sharding/shard_reclaim.cpp
@@ -59,7 +59,7 @@
     set_lease_state(shard_number, lease, ShardLeaseState::expiring);
 }
 
-// --- ending
+// --- Expiry of shard leases and ends of delegated jobs
 
 void ShardAllocator::check_leases(Millis now) {
     for (auto& [shard_number, lease] : leases_) {
@@ -158,7 +158,7 @@
     }
 }
 
-// --- reclaiming
+// --- Reclaiming of shards with expired leases
 
 void ShardAllocator::reclaim_shard(std::uint32_t shard_number, ShardLease& lease, Millis now) {
     set_lease_state(shard_number, lease, ShardLeaseState::reclaiming);
