--- a/src/control/machine_checker.h
+++ b/src/control/machine_checker.h
@@ -40,7 +40,8 @@
           heartbeat_delegator_(heartbeat_delegator),
           reachability_monitor_(reachability_monitor) {}
 
-    /// Checks the machines that are due, then sends the recorded releases to the cloud.
+    /// Checks the machines that are due. Then sends the cloud the releases whose intents are
+    /// recorded.
     void check_machines(Millis now);
     /// Returns whether another controller should lead because this one has not reached any machine
     /// for too long while heartbeats still arrive through other controllers.
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -59,7 +59,8 @@
     /// This controller was elected. `version` is the version of kTermKey, which its transactions
     /// are conditional on.
     virtual void on_elected(std::uint64_t term, std::uint64_t version) = 0;
-    /// The leader's lease is certainly valid until then, by its steady clock.
+    /// The leader's lease is certainly valid until `valid_until`, by this controller's steady
+    /// clock.
     virtual void on_lease_confirmed(Millis valid_until) = 0;
     /// This controller is no longer the leader. The reason is logged.
     virtual void on_deposed() = 0;
@@ -67,16 +68,16 @@
     virtual void on_leader_changed(const std::string& leader) = 0;
 };
 
-/// One controller's participation in the election. Guarantees that only the controller whose lease
-/// kLeaderKey is attached to is in the state `leading`. Failed requests are retried until they
+/// One controller's participation in the election. Guarantees that a controller is in the state
+/// `leading` only while kLeaderKey is attached to its lease. Failed requests are retried until they
 /// succeed.
 class Election {
   public:
-    /// Requests a call of run_due_work() no later than at that time.
+    /// Requests a call of run_due_work() no later than at `at`.
     using RequestWakeUp = std::function<void(Millis at)>;
 
     /// `store` and `observer` must outlive the election. `name` is the controller's name. `seed`
-    /// initializes the random delay between candidates.
+    /// initializes the random delay before a campaign, which differs between candidates.
     Election(ElectionStore& store, ElectionObserver& observer, std::string name, std::uint64_t seed,
              RequestWakeUp request_wake_up);
 
--- a/src/machines/machine_registry.h
+++ b/src/machines/machine_registry.h
@@ -92,11 +92,11 @@
     bool token_confirmation_pending = false;  ///< send a message even if no command is queued
     Millis retry_command_at = 0;
     std::uint32_t command_failures = 0;     ///< failed sends since the last reply
-    MessagePosition command_sent_position;  ///< newest position when the one in flight was sent
+    MessagePosition command_sent_position;  ///< newest when the command in flight was sent
     Millis command_sent_at = 0;
     Millis probe_requested_at = 0;  ///< when a message of unknown age caused a probe
     bool shard_recorded = false;    ///< it is in a committed shard record
-    bool recovering_jobs = false;   ///< the cluster state lacks jobs delegated with it
+    bool recovering_jobs = false;   ///< jobs of its reclaimed shard are not loaded yet
     bool commands_queued = false;   ///< it is in CommandSender's queue
 
     // Contribution to the totals of forecast::DemandForecast.
--- a/src/partition/partition_responder.h
+++ b/src/partition/partition_responder.h
@@ -1,8 +1,10 @@
 /// @file
 /// Replying to heartbeats inside a network partition: a controller that is partitioned together
-/// with its zone's machines keeps replying to them, so that their leases are renewed. It starts and
-/// stops no tasks. It does not learn of cancellations after its last message from the leader; users
-/// are told of a cancellation only when it is complete (docs/design/failure-domains.md).
+/// with its zone's machines keeps replying to them, so that their leases are renewed. The leader
+/// permits this in advance, for a limited time, by a delegation that it sends every second. The
+/// controller starts and stops no tasks. It does not learn of cancellations after its last message
+/// from the leader, so users are told of a cancellation only when it is complete
+/// (docs/design/failure-domains.md).
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -22,18 +24,19 @@
 /// end within `cancel_s`.
 [[nodiscard]] Millis max_response_bound(const wire::Settings& settings);
 
-/// Returns the same if users are told of a cancellation when the tasks have ended. The only limit
-/// is then how long the leader must wait until a lease is known to have expired.
+/// Returns how long, in milliseconds, such a controller may keep replying to workers if users are
+/// told of a cancellation only when its tasks have ended. The window is limited because a longer
+/// one delays the time at which the leader knows that a lease has expired.
 [[nodiscard]] Millis longest_response_window(const wire::Settings& settings);
 
 /// Returns the time by which every lease that another controller may have renewed until now has
-/// expired, whatever that controller knew.
+/// expired, even if that controller keeps replying for its whole response window.
 [[nodiscard]] Millis last_possible_lease_end(const wire::Settings& settings, Millis now);
 
 /// State of a PartitionResponder.
 enum class PartitionState {
     no_delegation,  ///< it has no delegation, or the last one has expired
-    standby,        ///< it has one, but the leader or the state service is reachable
+    standby,        ///< it has a delegation, but the leader or the state service is reachable
     responding,     ///< neither is reachable; it replies until the delegation expires
 };
 [[nodiscard]] const char* name(PartitionState state);
--- a/src/scheduling/preemption_search.h
+++ b/src/scheduling/preemption_search.h
@@ -25,8 +25,8 @@
 
     /// Number of machines that one search examines, unless a gang needs more.
     static constexpr std::size_t kMachinesPerSearch = 300;
-    /// Returns how many machines a search for this job examines: enough for a large gang, but at
-    /// most all.
+    /// Returns how many machines a search for this job examines: enough for a large gang, but no
+    /// more than there are.
     [[nodiscard]] static std::size_t machines_to_search(const cluster::ClusterState& cluster,
                                                         const jobs::Job& job, std::uint32_t tasks);
 
