--- a/src/partition/partition_responder.h
+++ b/src/partition/partition_responder.h
@@ -24,9 +24,10 @@
 /// end within `cancel_s`.
 [[nodiscard]] Millis max_response_bound(const wire::Settings& settings);
 
-/// Returns how long, in milliseconds, such a controller may keep replying to workers if users are
-/// told of a cancellation only when its tasks have ended. The window is limited because a longer
-/// one delays the time at which the leader knows that a lease has expired.
+/// Returns how long, in milliseconds, a controller that cannot reach the state service may keep
+/// replying to workers if users are told of a cancellation only when its tasks have ended. The
+/// window is limited because a longer one delays the time at which the leader knows that a lease
+/// has expired.
 [[nodiscard]] Millis longest_response_window(const wire::Settings& settings);
 
 /// Returns the time by which every lease that another controller may have renewed until now has
