--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -37,7 +37,8 @@
 wire::Json job(const std::string& id, const std::string& shape, std::uint32_t tasks, double gpus);
 
 /// Returns a heartbeat with these values and no tasks.
-wire::Heartbeat report(std::uint64_t incarnation, std::uint64_t sequence, std::uint64_t token);
+wire::Heartbeat make_heartbeat_without_tasks(std::uint64_t incarnation, std::uint64_t sequence,
+                                             std::uint64_t token);
 
 /// Runs real control loops, shard holders and partition responders against a simulated key-value
 /// store, cloud, network and workers. Faults (simulation_faults.h) are injected at random or by the
@@ -86,7 +87,7 @@
     /// Returns when the final state of the job was recorded; 0 before that.
     [[nodiscard]] Millis final_at(const std::string& id) const { return jobs_.final_at(id); }
     /// Returns the jobs that completed more than `longer` ago and have no final state.
-    [[nodiscard]] std::vector<std::string> jobs_reported_late(Millis longer) const;
+    [[nodiscard]] std::vector<std::string> jobs_without_final_state(Millis longer) const;
     /// From now on, asserts that no job waits for longer than `longest` while only the leader
     /// delays it (see WaitingJobChecker).
     void expect_wait_below(Millis longest);
@@ -207,8 +208,8 @@
     [[nodiscard]] std::size_t accepted_shard_grants() const { return accepted_shard_grants_; }
     /// Returns the number of cancellations that were confirmed while a leader of an earlier term
     /// still responded to workers.
-    [[nodiscard]] std::size_t cancellations_confirmed_beside_old_leaders() const {
-        return cancellations_confirmed_beside_old_leaders_;
+    [[nodiscard]] std::size_t cancellations_confirmed_while_old_leaders_respond() const {
+        return cancellations_confirmed_while_old_leaders_respond_;
     }
     /// Returns the number of replies 200 to heartbeats by leaders of an earlier term.
     [[nodiscard]] std::size_t replies_by_old_leaders() const { return replies_by_old_leaders_; }
@@ -397,7 +398,7 @@
     std::vector<HeldHeartbeat> held_heartbeats_;
     std::size_t heartbeat_copies_ = 0, answered_heartbeat_copies_ = 0;
     std::size_t replies_by_old_leaders_ = 0, replies_by_responders_ = 0;
-    std::size_t cancellations_confirmed_beside_old_leaders_ = 0;
+    std::size_t cancellations_confirmed_while_old_leaders_respond_ = 0;
 };
 
 }  // namespace nickelramp::test
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -17,7 +17,7 @@
 using test::Faults;
 using test::for_each_seed;
 using test::job;
-using test::report;
+using test::make_heartbeat_without_tasks;
 using test::SimulatedDay;
 
 const Millis kLease = test::simulated_lease();
@@ -56,7 +56,7 @@
         const ClusterSimulation::Coverage& coverage = day.simulation.coverage();
         unlisted += coverage.working_but_unlisted;
         booting += coverage.working_but_listed_booting;
-        before_reply += coverage.heartbeats_before_rental_reply;
+        before_reply += coverage.heartbeats_before_provision_reply;
         late += coverage.late_commits_applied + coverage.late_commits_refused;
     });
     EXPECT_GT(unlisted, 15u);
@@ -70,20 +70,20 @@
 TEST(Reachability, AMachineThatAnswersButSendsNoHeartbeatsIsInboundOnly) {
     WorkerChannel channel;
     channel.take_control(10, 1'000);
-    EXPECT_EQ(channel.on_heartbeat(report(1, 1, 10), false, 2'000),
+    EXPECT_EQ(channel.on_heartbeat(make_heartbeat_without_tasks(1, 1, 10), false, 2'000),
               machines::EvidenceFreshness::fresh);
     channel.on_reply_sent(kLease, 2'000);
     std::uint64_t sequence = 1;
     for (Millis now = 6'000; now <= 16'000; now += 5'000) {
-        EXPECT_EQ(channel.on_command_reply(report(1, ++sequence, 10), channel.newest_position(),
-                                           now, now),
+        EXPECT_EQ(channel.on_command_reply(make_heartbeat_without_tasks(1, ++sequence, 10),
+                                           channel.newest_position(), now, now),
                   machines::EvidenceFreshness::fresh);
         EXPECT_EQ(channel.reachability(5'000, now), Reachability::reachable);
         EXPECT_EQ(channel.renewed_at(), 2'000);
     }
     EXPECT_FALSE(channel.is_inbound_only(kLease, 16'000));
     EXPECT_TRUE(channel.is_inbound_only(kLease, 16'001));
-    EXPECT_EQ(channel.on_heartbeat(report(1, ++sequence, 10), false, 16'002),
+    EXPECT_EQ(channel.on_heartbeat(make_heartbeat_without_tasks(1, ++sequence, 10), false, 16'002),
               machines::EvidenceFreshness::fresh);
     EXPECT_FALSE(channel.is_inbound_only(kLease, 60'000));
 }
@@ -286,7 +286,7 @@
 // A new leader's first instance list may show machines that its predecessor has just released,
 // possibly as booting. No job may wait for them.
 TEST(Reachability, NoJobWaitsForMachinesOfAStaleCloudList) {
-    std::size_t gone_but_listed = 0;
+    std::size_t released_but_listed = 0;
     for_each_seed(520, 30, [&](std::uint64_t seed) {
         Faults faults;
         faults.cloud_list_lag = 3'000;
@@ -299,16 +299,16 @@
             simulation.run_until(simulation.now() + 100);
         // Its release is no longer on record.
         simulation.run_until(simulation.now() + 3'000 + static_cast<Millis>(seed % 20) * 100);
-        const std::size_t before = simulation.coverage().gone_but_listed;
+        const std::size_t before = simulation.coverage().released_but_listed;
         simulation.fail_over();
         simulation.run_until(simulation.now() + 500);
-        gone_but_listed += simulation.coverage().gone_but_listed - before;
+        released_but_listed += simulation.coverage().released_but_listed - before;
         simulation.submit(job("job-2", "standing", 1, 4));
         simulation.run_until(simulation.now() + 30'000);
         EXPECT_EQ(simulation.running_tasks("a") + simulation.running_tasks("b"), 1u)
             << simulation.describe_cluster_state();
     });
-    EXPECT_GT(gone_but_listed, 10u);
+    EXPECT_GT(released_but_listed, 10u);
 }
 
 // An instance list may show an older state than the list before. Only a list that is certainly
