--- a/src/api/confirmed_reads.cpp
+++ b/src/api/confirmed_reads.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 constexpr std::size_t kJobPrefixLength = 4;
-// Changes are read at least this often, also without readers: the store keeps them for a while
-// only.
+// Changes are read at least this often, even without readers, because the store retains them for a
+// limited time only.
 constexpr Millis kMaxReadInterval = 5'000;
 constexpr Millis kRecordReadTimeout = 1'000;
 }  // namespace
@@ -47,12 +47,12 @@
 }
 
 void ConfirmedReads::cache(const std::string& id, const RecordedStatus& status) {
-    // A read of the record may have been faster than the read of an earlier change to it.
+    // A read of the record may return before the read of an earlier change to the same record.
     if (const RecordedStatus* known = find_cached(id);
         known != nullptr && known->version > status.version)
         return;
     if (recent_cache_.size() >= cache_generation_size_) {
-        ++generation_;  // a change that a record read under way has missed may be dropped here
+        ++generation_;  // may evict a change that a record read in progress has missed
         previous_cache_ = std::move(recent_cache_);
         recent_cache_.clear();
     }
@@ -64,8 +64,8 @@
     if (state_ == ReadBatchState::idle) advance(now);
 }
 
-// Begins the next read if readers wait, or the cache must keep up, and the interval since the last
-// one is over.
+// Starts the next read if readers are waiting or the cache must be updated, unless the last read
+// started less than the minimum interval ago.
 void ConfirmedReads::advance(Millis now) {
     if (waiting_for_next_read_.empty() &&
         (revision_ == 0 || now < last_read_at_ + kMaxReadInterval)) {
@@ -93,8 +93,8 @@
                    [this](Millis now, const kvstore::ListReply& reply) { on_changes(reply, now); });
 }
 
-// The cache is true of no known revision and is cleared. Until the reply, records are read one by
-// one.
+// The cache is cleared because the revision that it corresponds to is not known. Waiting reads are
+// served by reads of individual records.
 void ConfirmedReads::read_initial_revision() {
     set_state(ReadBatchState::starting);
     ++generation_;
@@ -127,7 +127,7 @@
     advance(now);
 }
 
-// The readers came before this read, so that the next one may serve them too.
+// The readers arrived before this read started, so the next read can serve them as well.
 void ConfirmedReads::on_changes_failed(std::vector<PendingRead> reads, kvstore::Status status,
                                        Millis now) {
     if (status == kvstore::Status::lease_or_revision_expired) revision_ = 0;
@@ -150,13 +150,14 @@
 void ConfirmedReads::read_records(std::vector<PendingRead> reads) {
     std::unordered_map<std::string, std::vector<PendingRead>> by_id;
     for (PendingRead& read : reads) by_id[read.id].push_back(std::move(read));
-    for (auto& [id, of_one_job] : by_id) read_record(id, std::move(of_one_job));
+    for (auto& [id, job_reads] : by_id) read_record(id, std::move(job_reads));
 }
 
-// For a job whose record has not changed since this controller follows the changes.
+// Reads the record of a job that is not in the cache.
 void ConfirmedReads::read_record(const std::string& id, std::vector<PendingRead> reads) {
     auto [found, inserted] = record_reads_.try_emplace(id);
-    // A read under way may have been executed before these readers came; another one follows it.
+    // A read in progress may have been executed before these readers arrived, so they are served by
+    // another read after it.
     std::vector<PendingRead>& readers =
         inserted ? found->second.readers : found->second.later_readers;
     std::move(reads.begin(), reads.end(), std::back_inserter(readers));
@@ -169,8 +170,9 @@
                });
 }
 
-// A change to the record since the read was begun is in the cache by now, if changes were followed
-// then and nothing has been dropped from the cache since: only then `may_cache` holds.
+// `may_cache` is set if changes were being followed when the read started and nothing has been
+// evicted from the cache since. Only then a change to the record since the start of the read is
+// certain to be in the cache.
 void ConfirmedReads::on_record_read(const std::string& id, bool may_cache,
                                     const kvstore::GetReply& reply) {
     auto record_read = record_reads_.extract(id);
--- a/src/api/confirmed_reads.h
+++ b/src/api/confirmed_reads.h
@@ -14,48 +14,50 @@
 
 namespace nickelramp::api {
 
-/// A job's status as its record in the key-value store has it.
+/// A job's status according to its record in the key-value store.
 struct RecordedStatus {
     /// The revision at which the record was written.
     std::uint64_t version = 0;
     /// The number of the job's tasks.
     std::uint64_t tasks = 0;
-    /// `done` or `cancelled`, once it is one of them.
+    /// `done` or `cancelled`. Not set while the job is open.
     std::optional<wire::JobStatus> final;
 };
-/// Nothing if the record is no map.
+/// Decodes a job's record. Returns nothing if the record is not a map.
 std::optional<RecordedStatus> decode_recorded_status(const wire::Json& record,
                                                      std::uint64_t version);
 
-/// idle:     no read is needed
-/// pausing:  readers wait; the next read is not due yet
-/// reading:  a read of changes is under way; new readers wait for the next one
-/// starting: the revision from which changes can be read is being asked for
+/// State of the batched reads of changes.
+/// - idle:     no read is needed
+/// - pausing:  the next read is not due yet
+/// - reading:  a read of changes is in progress; new readers wait for the next one
+/// - starting: the revision from which changes can be read is being requested
 enum class ReadBatchState { idle, pausing, reading, starting };
 
-/// Reads the status of jobs so that every result is true of a moment after its read was asked for:
-/// no controller can give an older status than another has given before. All readers of a time
-/// share one read of the changes to all jobs' records, so that the load on the store does not grow
-/// with their number; a record that has not changed since this controller follows the changes is
-/// read by itself. Has no clock and no sockets: a ConfirmedReadsDriver or a simulation calls it.
+/// Linearizable reads of the status of jobs: every result was current at some time after its read
+/// was requested, so no controller returns an older status than another has returned before.
+/// Concurrent readers share one read of the changes to all jobs' records, so the load on the store
+/// does not grow with their number. A record that has not changed since this controller began to
+/// follow the changes is read individually. The class uses no clock and no sockets. It is driven by
+/// a ConfirmedReadsDriver or a simulation.
 class ConfirmedReads {
   public:
-    /// `unknown`: the store did not reply in time, or refuses.
+    /// `unknown`: the store did not reply in time or rejected the request.
     enum class Lookup { found, missing, unknown };
     using Done = std::function<void(Lookup, const RecordedStatus&)>;
 
-    /// The store must outlive this. `min_read_interval` (milliseconds) is kept between the
-    /// beginnings of two reads of changes. `wake` asks for a call of run_due_work() at a time. The
-    /// cache holds up to twice `cache_generation_size` records.
+    /// The store must outlive this object. `min_read_interval` is the minimum time between the
+    /// starts of two reads of changes. `wake` schedules a call of run_due_work() at the given time.
+    /// The cache holds up to twice `cache_generation_size` records.
     ConfirmedReads(JobStore& store, Millis min_read_interval, std::function<void(Millis)> wake,
                    std::size_t cache_generation_size = 10'000);
 
-    /// `done` is called once, by the first run_due_work() after `timeout` (milliseconds) at the
-    /// latest. The status is set with Lookup::found only.
+    /// Reads the status of a job. `done` is called once, at the latest by the first run_due_work()
+    /// after `timeout`. The status is only set with Lookup::found.
     void read(const std::string& id, Millis timeout, Done done, Millis now);
-    /// True if a record of the job is cached; it says nothing of the job's present status.
+    /// Returns whether a record of the job is cached. The cached status may be outdated.
     bool has_record(const std::string& id) const { return find_cached(id) != nullptr; }
-    /// Ends reads that are late and begins the next read if it is due.
+    /// Ends reads whose timeout has expired and starts the next read of changes if it is due.
     void run_due_work(Millis now);
 
   private:
@@ -64,8 +66,8 @@
         Millis deadline;
         Done done;
     };
-    // One read of a record, for all its readers. Those that came while it was under way need
-    // another one after it.
+    // One read of a record, shared by all its readers. `later_readers` arrived while it was in
+    // progress and need another read after it.
     struct RecordRead {
         std::vector<PendingRead> readers, later_readers;
     };
@@ -86,9 +88,9 @@
     const Millis min_read_interval_;
     std::function<void(Millis)> wake_;
     ReadBatchState state_ = ReadBatchState::idle;
-    std::uint64_t revision_ = 0;  // of which the cache is true; 0: of none
+    std::uint64_t revision_ = 0;  // revision to which the cache is up to date; 0: none
     const std::size_t cache_generation_size_;
-    std::uint64_t generation_ = 0;  // grows whenever records are dropped from the cache
+    std::uint64_t generation_ = 0;  // incremented whenever records are evicted from the cache
     Millis last_read_at_ = 0;
     std::vector<PendingRead> waiting_for_next_read_;
     std::vector<PendingRead> waiting_for_current_read_;
--- a/src/api/confirmed_reads_driver.cpp
+++ b/src/api/confirmed_reads_driver.cpp
@@ -7,10 +7,10 @@
 namespace nickelramp::api {
 
 namespace {
-// Of the store's request limit, for the batched reads of all controllers together.
+// Share of the store's request limit for the batched reads of all controllers together.
 constexpr double kReadsShare = 0.1;
 constexpr double kMinReadsPerSecond = 0.1;
-// Users wait 2 s for a status.
+// Users wait up to 2 s for a status, so the interval must be well below that.
 constexpr Millis kMinReadInterval = 20, kMaxReadInterval = 400;
 constexpr Millis kReadTimeout = 1'000;
 
@@ -40,7 +40,7 @@
                           net::with_time(loop_, std::move(done)));
 }
 
-// A page of one entry: each page names the store's revision.
+// Requests a page of one entry, because every page contains the store's revision.
 void ConfirmedReadsDriver::revision(Done<kvstore::ListReply> done) {
     client_.list_page(kJobPrefix, "", 1, kvstore::RequestClass::election,
                       net::with_time(loop_, std::move(done)));
@@ -54,7 +54,7 @@
 
 void ConfirmedReadsDriver::watch(const std::string& prefix, std::uint64_t after_revision,
                                  Millis timeout, Done<kvstore::ListReply> done) {
-    const Millis watch_duration = timeout / 2;  // the rest is for the reply to arrive
+    const Millis watch_duration = timeout / 2;  // the remaining time is for the reply to arrive
     client_.watch(prefix, after_revision, watch_duration, net::with_time(loop_, std::move(done)),
                   timeout - watch_duration);
 }
--- a/src/api/confirmed_reads_driver.h
+++ b/src/api/confirmed_reads_driver.h
@@ -1,5 +1,5 @@
 /// @file
-/// Confirmed reads on libuv.
+/// Runs ConfirmedReads on a libuv loop.
 #pragma once
 #include <uv.h>
 
@@ -14,14 +14,14 @@
 
 namespace nickelramp::api {
 
-/// Connects ConfirmedReads, which knows neither sockets nor clocks, with a client of the key-value
-/// store and a timer. The controller owns it and calls run_due_work() now and then. The client must
-/// outlive it, and so must the loop. To be used on the loop's thread only.
+/// Connects ConfirmedReads, which uses neither sockets nor clocks, to a client of the key-value
+/// store and a timer. The controller owns it and calls run_due_work() periodically. The client and
+/// the loop must outlive it. To be used on the loop's thread only.
 class ConfirmedReadsDriver : private JobStore {
   public:
     ConfirmedReadsDriver(uv_loop_t* loop, kvstore::Client& client, const wire::Settings& settings);
 
-    /// For JobRequestHandler.
+    /// Returns the store for JobRequestHandler.
     JobStore& store() { return *this; }
     ConfirmedReads& reads() { return reads_; }
     void run_due_work() { reads_.run_due_work(now()); }
--- a/src/api/job_admission.cpp
+++ b/src/api/job_admission.cpp
@@ -14,7 +14,7 @@
     return std::find(values.begin(), values.end(), value) != values.end();
 }
 
-// True if one task can run on a machine of the type.
+// Returns whether a task of the job can run on a machine of the type.
 bool allows_type(const wire::JobSpec& spec, const wire::MachineType& type) {
     if (!spec.any_type && !contains(spec.types, type.name)) return false;
     if (spec.zone && !contains(type.zones, *spec.zone)) return false;
@@ -22,7 +22,7 @@
                              {spec.cpus, spec.gpus, spec.memory_gb});
 }
 
-// A quota of 0 is no limit.
+// A quota of 0 means no limit.
 bool is_above_quota(double needed, double quota) {
     return quota > 0 && needed > quota + jobs::kFitTolerance;
 }
@@ -57,12 +57,12 @@
         zones.insert(type.zones.begin(), type.zones.end());
     }
     if (!fits) return Unschedulable::no_machine_type;
-    // Part of an array or a service can run in one zone, and the rest later or never; a gang
-    // cannot.
+    // Tasks of an array or a service can run in one zone while the others run later or never. A gang
+    // must run as a whole.
     const bool in_one_zone = spec.one_zone || spec.zone || zones.size() < 2;
     if (spec.shape == wire::Shape::gang && spec.spread && spec.tasks > 1 && in_one_zone)
         return Unschedulable::needs_more_zones;
-    // Tasks of an array can run one after the other.
+    // An array can run its tasks one after the other.
     const double concurrent_tasks = spec.shape == wire::Shape::array ? 1.0 : spec.tasks;
     if (is_above_quota(spec.cpus * concurrent_tasks, team->cpus_max) ||
         is_above_quota(spec.gpus * concurrent_tasks, team->gpus_max))
--- a/src/api/job_request_handler.cpp
+++ b/src/api/job_request_handler.cpp
@@ -20,12 +20,12 @@
 constexpr const char* kJobPathPrefix = "/work/";
 constexpr const char* kCancelSuffix = "/abort";
 
-// Users wait 5 s for a submission or a cancellation, and 2 s for a status.
+// Users wait up to 5 s for a submission or a cancellation, and up to 2 s for a status.
 constexpr Millis kChangeTimeout = 3500;
 constexpr Millis kStatusTimeout = 1500;
 constexpr std::size_t kMaxPendingRequests = 1000;
-// For the end of a cancelled job, which usually takes a twentieth of it. Few users wait for it at
-// once; the others are asked to try again.
+// How long a cancel request waits for the job to end, which usually takes a twentieth of this time.
+// Only a few requests wait at a time; the others are answered with 503.
 constexpr Millis kJobEndTimeout = 800;
 constexpr std::size_t kMaxPendingCancellations = 2;
 constexpr double kBytesPerKilobyte = 1024;
@@ -44,13 +44,13 @@
 }
 Response no_such_job() { return failure(kNotFound, "no such job"); }
 
-// A submission that can be stored.
+// A valid submission.
 struct Submission {
     wire::JobSpec spec;
     Json open_record;
 };
 
-// The response to one that cannot be is the error.
+// Parses a submission. The error is the response to an invalid one.
 Result<Submission, Response> read_submission(const std::string& body, std::int64_t wall_ms,
                                              double max_value_kb) {
     const auto map = wire::decode_map(body);
@@ -66,7 +66,7 @@
     return Submission{std::move(*spec), std::move(open_record)};
 }
 
-// The status in a job's record, once it is final, among changes to the record.
+// Returns the job's final status if the changes contain it.
 std::optional<RecordedStatus> find_final_status(const std::vector<kvstore::Entry>& entries,
                                                 const std::string& job_id) {
     for (const kvstore::Entry& entry : entries) {
@@ -122,7 +122,7 @@
 }
 
 void JobRequestHandler::request_started() {
-    if (pending_count_++ == 0) idle_since_ = hooks_.now();
+    if (pending_count_++ == 0) pending_since_ = hooks_.now();
 }
 
 void JobRequestHandler::request_finished() { --pending_count_; }
@@ -152,17 +152,17 @@
     if (is_overloaded()) return respond(try_again());
     auto submission = read_submission(request.body, hooks_.wall_ms(), settings_.state_value_kb);
     if (!submission) return respond(submission.error());
-    if (!has_machine_types()) return respond(try_again());  // what can run is not known yet
+    if (!has_machine_types()) return respond(try_again());  // cannot be validated yet
     submit(submission->spec, std::move(submission->open_record),
            make_request(submission->spec.id, kChangeTimeout, std::move(respond)));
 }
 
 void JobRequestHandler::submit(const wire::JobSpec& spec, Json open_record,
                                const PendingRequest& request) {
-    // A job that was accepted before must not be rejected now, so that its status comes first.
+    // A job that was accepted earlier must not be rejected now, so its status is read first.
     if (const auto reason = unschedulable_reason(spec, settings_, machine_types_))
         return respond_with_status(request, failure(kUnprocessable, message(*reason)));
-    // A repeated submission costs no write.
+    // A repeated submission is answered without a write.
     if (reads_.has_record(spec.id)) return respond_with_status(request, no_such_job());
     kvstore::Transaction transaction;
     transaction.conditions = {{jobs::job_key(spec.id), 0}};
@@ -184,7 +184,7 @@
                               request, success(kCreated, wire::encode_job_answer(
                                                              request.job_id, JobStatus::pending)));
                       else if (reply.status == kvstore::Status::conflict)
-                          respond_with_status(request, no_such_job());  // it was submitted before
+                          respond_with_status(request, no_such_job());  // the job was submitted before
                       else
                           respond_to_submission(request, try_again());
                   });
@@ -208,9 +208,9 @@
         hooks_.now());
 }
 
-// The cancel request is written to the job's open record; the leader stops the tasks and makes the
-// job final once none is left. Until then users are asked to try again: a status that was given to
-// a user is never revoked by a controller that does not know of it.
+// Writes the cancel request to the job's open record. The leader stops the tasks and records the
+// final status once no task is left. Until then the response is 503, because a status that a user
+// has received must never be contradicted by a controller that does not know of it.
 void JobRequestHandler::cancel(const PendingRequest& request) {
     request_started();
     const Millis timeout = time_left(request);
@@ -236,7 +236,7 @@
                [this, request](Millis, const kvstore::GetReply& open) {
                    request_finished();
                    if (open.status == kvstore::Status::missing)
-                       cancel(request);  // it has just become final
+                       cancel(request);  // the job has just ended
                    else if (open.status != kvstore::Status::ok || time_left(request) <= 0)
                        request.respond(try_again());
                    else
@@ -245,7 +245,7 @@
 }
 
 void JobRequestHandler::request_cancel(const kvstore::Entry& open, const PendingRequest& request) {
-    if (wire::flag_field(open.value, "unwanted").value_or(false)) {  // it is requested already
+    if (wire::flag_field(open.value, "unwanted").value_or(false)) {  // already requested
         request.respond(try_again());
         return;
     }
@@ -268,7 +268,7 @@
                   });
 }
 
-// Usually a job ends after a few messages.
+// Waits for the job to end, which usually takes only a few messages.
 void JobRequestHandler::await_job_end(std::uint64_t revision, const PendingRequest& request) {
     ++pending_cancellations_;
     store_.watch(jobs::job_key(request.job_id), revision,
--- a/src/api/job_request_handler.h
+++ b/src/api/job_request_handler.h
@@ -1,5 +1,6 @@
 /// @file
-/// The HTTP interface for users' jobs: POST /work, GET /work/ID and POST /work/ID/abort.
+/// The HTTP interface for users' jobs: POST /work (submission), GET /work/ID (status) and
+/// POST /work/ID/abort (cancellation).
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -17,44 +18,46 @@
 
 namespace nickelramp::api {
 
-/// Handles the requests of users. Every controller does so in the same way, leader or not:
-/// submissions and cancel requests are written to the key-value store, one record a job, and every
-/// status is a confirmed read, so that no controller gives an older one than another did. A user is
-/// asked to try again (503) if the store does not reply in time; bad input is answered with 4xx and
-/// changes nothing. The controller owns it. To be used on the loop's thread only.
+/// Handles the requests of users. All controllers handle them in the same way, whether they lead or
+/// not. Submissions and cancel requests are written to the key-value store. Every status comes from
+/// a confirmed read, so no controller returns an older status than another has returned before. The
+/// response is 503 if the store does not reply in time, and 4xx if the request is invalid; an
+/// invalid request changes nothing. The controller owns the handler. To be used on the loop's
+/// thread only.
 class JobRequestHandler {
   public:
-    /// What it needs of the controller.
+    /// The functions of the controller that the handler uses.
     struct Hooks {
-        /// The time of day, in milliseconds since 1970.
+        /// Returns the wall-clock time in milliseconds since the Unix epoch.
         std::function<std::int64_t()> wall_ms;
-        /// The loop's time.
+        /// Returns the loop's time.
         std::function<Millis()> now;
-        /// Called with each response to a new submission, for the metrics.
+        /// Called for each response to a new submission, to update the metrics.
         std::function<void(const char* request, int status, Millis duration)> on_answered;
-        /// Numbers of tasks of an open job, for display; zero if they are not known.
+        /// Returns the task counts of an open job for display. They are zero if unknown.
         std::function<wire::TaskCounts(const std::string& id)> progress;
     };
-    /// To be called once.
+    /// Sends the response. Called once per request.
     using Respond = std::function<void(const net::Response&)>;
 
     /// All references must outlive the handler.
     JobRequestHandler(const wire::Settings& settings, JobStore& store, ConfirmedReads& reads,
                       Hooks hooks);
 
-    /// Until the types are known, submissions are answered with 503.
+    /// Sets the known machine types. Submissions are answered with 503 until they are known.
     void set_machine_types(const std::vector<wire::MachineType>& types) { machine_types_ = types; }
     bool has_machine_types() const { return !machine_types_.empty(); }
 
-    /// Requests that wait for the key-value store, and since when at the most.
-    readiness::PendingRequests pending_requests() const { return {pending_count_, idle_since_}; }
+    /// Returns the number of requests that wait for the key-value store, and a time before which
+    /// none of them was waiting.
+    readiness::PendingRequests pending_requests() const { return {pending_count_, pending_since_}; }
 
-    /// False, and `respond` will not be called, if the path is not one of the above.
+    /// Handles the request. Returns false without calling `respond` if the path is not one of this
+    /// interface.
     [[nodiscard]] bool handle(const net::Request& request, Respond respond);
 
   private:
-    /// A valid request under way. However many calls of the store it takes, all of them end by the
-    /// deadline.
+    /// A valid request in progress. The deadline applies to all its calls of the store together.
     struct PendingRequest {
         std::string job_id;
         Millis received_at, deadline;
@@ -64,10 +67,10 @@
     void handle_job_request(const net::Request& request, Respond respond);
     void submit(const wire::JobSpec& spec, wire::Json open_record, const PendingRequest& request);
     void write_new_job(const kvstore::Transaction& transaction, const PendingRequest& request);
-    /// Responds with the job's status, or with `if_missing` if there is no record of it.
+    /// Responds with the job's status, or with `if_missing` if the job has no record.
     void respond_with_status(const PendingRequest& request, net::Response if_missing);
     void respond_with_recorded_status(const RecordedStatus& status, const PendingRequest& request);
-    /// Responds to a submission, and reports it to the metrics.
+    /// Responds to a submission and updates the metrics.
     void respond_to_submission(const PendingRequest& request, const net::Response& response);
     void cancel(const PendingRequest& request);
     void read_open_for_cancel(const PendingRequest& request);
@@ -88,7 +91,7 @@
     Hooks hooks_;
     std::vector<wire::MachineType> machine_types_;
     std::size_t pending_count_ = 0;          // requests waiting for the store
-    Millis idle_since_ = 0;                  // when the first of them came, or one before it
+    Millis pending_since_ = 0;               // when `pending_count_` last became positive
     std::size_t pending_cancellations_ = 0;  // requests waiting for a cancelled job to end
 };
 
--- a/src/api/job_store.h
+++ b/src/api/job_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// What requests of users need of the key-value store.
+/// The interface to the key-value store for handling users' requests.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -10,12 +10,13 @@
 
 namespace nickelramp::api {
 
-/// Of the keys of jobs' records; jobs::job_key appends the job's id.
+/// Key prefix of jobs' records. jobs::job_key appends the job's id.
 inline constexpr const char* kJobPrefix = "job/";
 
-/// The key-value store as this module sees it. Implemented by ConfirmedReadsDriver, and by the
-/// tests' simulations. Each call gives one reply, later, on the loop's thread, with the time in
-/// milliseconds at which it came; a call with a `timeout` (milliseconds) gives it by then.
+/// The operations of the key-value store that this module uses. Implemented by ConfirmedReadsDriver
+/// and by the simulations in tests. Each call has exactly one reply, which is delivered
+/// asynchronously on the loop's thread with its arrival time in milliseconds. A call with a
+/// `timeout` (milliseconds) is answered within that time.
 class JobStore {
   public:
     template <typename Reply>
@@ -23,14 +24,16 @@
 
     virtual ~JobStore() = default;
     virtual void get(const std::string& key, Millis timeout, Done<kvstore::GetReply> done) = 0;
-    /// All changes under the prefix after the revision, and the revision that they lead to.
+    /// Reads all changes under the prefix after the revision, and the revision that includes them.
     virtual void changes(const std::string& prefix, std::uint64_t after_revision,
                          Done<kvstore::ListReply> done) = 0;
-    /// A revision that is current or later than the call, from which changes can be read.
+    /// Reads a revision from which changes can be read. It is not older than the store's revision
+    /// at the time of the call.
     virtual void revision(Done<kvstore::ListReply> done) = 0;
     virtual void commit(const kvstore::Transaction& transaction, Millis timeout,
                         Done<kvstore::CommitReply> done) = 0;
-    /// The next changes under the prefix after the revision; none if none come in time.
+    /// Waits for the next changes under the prefix after the revision. The reply is empty if there
+    /// are none within the timeout.
     virtual void watch(const std::string& prefix, std::uint64_t after_revision, Millis timeout,
                        Done<kvstore::ListReply> done) = 0;
 };
