--- a/tests/byte_exchange.h
+++ b/tests/byte_exchange.h
@@ -1,4 +1,5 @@
-// A connection that sends bytes as they are and keeps what it receives.
+/// @file
+/// A test connection that sends raw bytes and records the reply.
 #pragma once
 #include <uv.h>
 
@@ -6,7 +7,8 @@
 
 namespace nickelramp::test {
 
-// Must stay where it is while its handle is open.
+/// Sends `sent` once connected and appends what the server sends to `received`. Must not be moved
+/// or destroyed while its handle is open.
 struct ByteExchange {
     uv_tcp_t tcp;
     uv_connect_t connect;
@@ -14,6 +16,7 @@
     std::string sent, received;
     bool closed = false;
 
+    /// Starts sending and reading. Called once the connection is established.
     void start() {
         auto* stream = reinterpret_cast<uv_stream_t*>(&tcp);
         uv_buf_t buffer = uv_buf_init(sent.data(), static_cast<unsigned>(sent.size()));
