--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -12,7 +12,7 @@
 namespace nickelramp::ctl {
 
 namespace {
-constexpr double kMostS = 3600;
+constexpr double kMaxGiveUpS = 3600;
 
 [[noreturn]] void wrong(const std::string& name, const toml::source_region& at,
                         const std::string& what) {
@@ -49,7 +49,7 @@
             }
         } else if (key == "give_up_s") {
             out.give_up_s = value.value<double>().value_or(0);
-            if (!(out.give_up_s >= 1 && out.give_up_s <= kMostS)) {
+            if (!(out.give_up_s >= 1 && out.give_up_s <= kMaxGiveUpS)) {
                 wrong(name, value.source(), "give_up_s must be a number from 1 to 3600");
             }
         } else {
--- a/src/ctl/config.h
+++ b/src/ctl/config.h
@@ -1,7 +1,8 @@
-// Where nickelrampctl finds the controllers: a small TOML file.
-//
-//   controllers = ["10.0.0.1:8080", "10.0.0.2:8080"]   # any of them may answer
-//   give_up_s = 60                                     # in all, for one request
+/// @file
+/// Configuration of nickelrampctl: the addresses of the controllers, read from a TOML file.
+///
+///     controllers = ["10.0.0.1:8080", "10.0.0.2:8080"]   # any of them can answer
+///     give_up_s = 60                                     # per request, including its retries
 #pragma once
 #include <string>
 #include <vector>
@@ -13,9 +14,13 @@
     double give_up_s = 60;
 };
 
-// Both throw std::runtime_error with a message that names file, line and field.
+/// Parses a configuration.
+/// @param name the file name for error messages
+/// @throw std::runtime_error with a message that names the file and, where known, line and field
 Config parse_config(const std::string& text, const std::string& name);
-// The named file; else $NICKELRAMPCTL; else ~/.config/nickelramp/ctl.toml.
+/// Reads and parses the named file. If `path` is empty, reads the file that $NICKELRAMPCTL names,
+/// and without that variable ~/.config/nickelramp/ctl.toml.
+/// @throw std::runtime_error like parse_config(), also if the file cannot be read
 Config read_config(const std::string& path);
 
 }  // namespace nickelramp::ctl
--- a/src/ctl/controller_client.cpp
+++ b/src/ctl/controller_client.cpp
@@ -5,7 +5,7 @@
 namespace nickelramp::ctl {
 
 namespace {
-constexpr Millis kWait = 5'000;  // for one answer, as users wait for one
+constexpr Millis kAttemptTimeout = 5'000;  // the same time limit as for other clients
 }
 
 ControllerClient::ControllerClient(uv_loop_t* loop, const Config& config, std::size_t first)
@@ -35,7 +35,8 @@
 void ControllerClient::send() {
     set_state(State::requesting);
     clients_[only_controller_.value_or(retry_policy_->controller())]->request(
-        method_.c_str(), target_, body_, kWait, [this](const net::ClientReply& r) { on_reply(r); });
+        method_.c_str(), target_, body_, kAttemptTimeout,
+        [this](const net::ClientReply& r) { on_reply(r); });
 }
 
 void ControllerClient::on_reply(const net::ClientReply& reply) {
--- a/src/ctl/controller_client.h
+++ b/src/ctl/controller_client.h
@@ -1,5 +1,6 @@
-// Asks the controllers over HTTP, as PROTOCOL tells users to: any of them, again after a pause when
-// there is no answer, for a while.
+/// @file
+/// Sends requests to the controllers over HTTP by the rules of PROTOCOL for users: any controller
+/// can answer, and a request without an answer is retried after a pause until a time limit.
 #pragma once
 #include <uv.h>
 
@@ -17,12 +18,12 @@
 namespace nickelramp::ctl {
 
 struct ControllerReply {
-    bool answered = false;  // false: nobody answered in time
-    bool reached_controller = false;
+    bool answered = false;            ///< false: no controller answered in time
+    bool reached_controller = false;  ///< whether any attempt may have reached a controller
     int status = 0;
     std::string body;
     std::size_t attempts = 0;
-    std::size_t controller = 0;  // who gave it
+    std::size_t controller = 0;  ///< index of the controller asked last
 };
 
 class ControllerClient {
@@ -30,7 +31,8 @@
     using Done = std::function<void(const ControllerReply&)>;
     ControllerClient(uv_loop_t* loop, const Config& config, std::size_t first);
 
-    // One at a time. `only`: this controller and no other, once.
+    /// Sends a request and calls `done` with the outcome. Only one request can be in progress.
+    /// @param only send the request to this controller only, without retries
     void request(std::string method, std::string target, std::string body, Done done,
                  std::optional<std::size_t> only = {});
     bool idle() const { return state_ == State::idle; }
--- a/src/ctl/program.cpp
+++ b/src/ctl/program.cpp
@@ -20,25 +20,25 @@
 
 namespace {
 
-constexpr double kLeastEveryS = 0.1;
-constexpr Millis kPlanPause = 300;
+constexpr double kMinWatchIntervalS = 0.1;
+constexpr Millis kPlanPollInterval = 300;
 constexpr const char* kSettings = "/admin/settings";
 
 struct Command {
     std::string config;
     std::vector<std::string> controllers;
     bool json = false;
-    double watch_s = 0;  // 0: once
+    double watch_s = 0;  // interval of --watch; 0: no repetition
     double give_up_s = 0;
     std::string file = "-", id, setting, value;
-    // Of a drain plan.
+    // For drain plans.
     std::vector<std::string> machines;
     std::string zone, type;
     bool all = false, moves = false;
     std::uint32_t at_once = 0;
 };
 
-using Text = std::string (*)(const Json&);  // an answer, as people read it
+using Formatter = std::string (*)(const Json&);  // formats an answer as text
 
 class Program {
   public:
@@ -46,57 +46,63 @@
             std::ostream& err)
         : asker_(loop, config, std::random_device{}()),
           command_(command),
-          again_(loop, [this] { begin(); }),
+          repeat_timer_(loop, [this] { begin(); }),
           out_(out),
           err_(err) {}
 
-    void submit(const Json& job) { keep_asking("POST", "/work", wire::encode(job), job_answer()); }
-    void show() { keep_asking("GET", "/work/" + command_.id, "", job_answer()); }
-    void abort() { keep_asking("POST", "/work/" + command_.id + "/abort", "", job_answer()); }
-    // What only the leader knows is asked for until one answers that is it.
-    void status(Text text) {
-        keep_asking("GET", "/admin/status", "", [this, text](const ControllerReply& a) {
+    void submit(const Json& job) {
+        send_repeatable("POST", "/work", wire::encode(job), job_answer());
+    }
+    void show() { send_repeatable("GET", "/work/" + command_.id, "", job_answer()); }
+    void abort() { send_repeatable("POST", "/work/" + command_.id + "/abort", "", job_answer()); }
+    // Only the leader has the full status: asks one controller after the other until the leader
+    // answers.
+    void status(Formatter text) {
+        send_repeatable("GET", "/admin/status", "", [this, text](const ControllerReply& a) {
             on_status(a, text, asker_.controllers());
         });
     }
-    void settings() { keep_asking("GET", kSettings, "", text_answer(settings_text)); }
+    void settings() { send_repeatable("GET", kSettings, "", text_answer(settings_text)); }
     void set(const Json& value) {
-        keep_asking("PUT", std::string(kSettings) + "/" + command_.setting,
-                    Json{{"value", value}}.dump(), text_answer(settings_text));
+        send_repeatable("PUT", std::string(kSettings) + "/" + command_.setting,
+                        Json{{"value", value}}.dump(), text_answer(settings_text));
     }
-    // Asks for a plan, and then until it is made.
+    // Requests a plan and polls until it is complete.
     void make_plan(const Json& request) {
-        keep_asking("POST", drain::kPlansPath, request.dump(), [this](const ControllerReply& a) {
-            if (fine(a)) show_plan();
-        });
+        send_repeatable("POST", drain::kPlansPath, request.dump(),
+                        [this](const ControllerReply& a) {
+                            if (fine(a)) show_plan();
+                        });
     }
     void show_plan() {
-        keep_asking("GET", plan_path(), "", [this](const ControllerReply& a) { on_plan(a); });
+        send_repeatable("GET", plan_path(), "", [this](const ControllerReply& a) { on_plan(a); });
     }
-    void list_plans() { keep_asking("GET", drain::kPlansPath, "", text_answer(plans_text)); }
-    bool busy() const { return waits_ || !asker_.idle(); }
-    int code() const { return code_; }
+    void list_plans() { send_repeatable("GET", drain::kPlansPath, "", text_answer(plans_text)); }
+    bool busy() const { return repeat_pending_ || !asker_.idle(); }
+    int code() const { return exit_code_; }
 
   private:
-    // Once now, and again whenever it is time to.
-    void keep_asking(std::string method, std::string target, std::string body,
-                     ControllerClient::Done done) {
-        begin_ = [this, method, target, body, done] { asker_.request(method, target, body, done); };
+    // Sends the request now, and again each time `repeat_timer_` fires.
+    void send_repeatable(std::string method, std::string target, std::string body,
+                         ControllerClient::Done done) {
+        send_request_ = [this, method, target, body, done] {
+            asker_.request(method, target, body, done);
+        };
         begin();
     }
     void begin() {
-        waits_ = false;
-        begin_();
+        repeat_pending_ = false;
+        send_request_();
     }
-    void again_after(Millis pause) {
-        waits_ = true;
-        again_.after(pause);
+    void repeat_after(Millis pause) {
+        repeat_pending_ = true;
+        repeat_timer_.after(pause);
     }
     std::string plan_path() const { return std::string(drain::kPlansPath) + "/" + command_.id; }
     ControllerClient::Done job_answer() {
         return [this](const ControllerReply& a) { on_job(a); };
     }
-    ControllerClient::Done text_answer(Text text) {
+    ControllerClient::Done text_answer(Formatter text) {
         return [this, text](const ControllerReply& a) {
             const auto body = read(a);
             if (!body) return;
@@ -104,19 +110,19 @@
             watch();
         };
     }
-    // False when there is nothing to be printed but the trouble.
+    // Returns whether the reply is a success. Otherwise prints the error and sets the exit code.
     bool fine(const ControllerReply& a) {
         if (!a.answered) {
             err_ << "no controller has answered (" << a.attempts << " tries)";
             if (a.reached_controller)
                 err_ << "; what was asked for may have been done all the same";
             err_ << "\n";
-            code_ = kExitNoAnswer;
+            exit_code_ = kExitNoAnswer;
             return false;
         }
         if (a.status >= 400) {
             err_ << error_text(a.status, a.body);
-            code_ = kExitRejected;
+            exit_code_ = kExitRejected;
             return false;
         }
         return true;
@@ -128,18 +134,19 @@
             out_ << text;
         out_.flush();
     }
-    // The map in it, whether for users (CBOR) or for people (JSON); nothing when there is trouble.
+    // Returns the map in the body, CBOR from the user API or JSON from the administration API.
+    // Otherwise prints the error, sets the exit code and returns nothing.
     std::optional<Json> read(const ControllerReply& a) {
         if (!fine(a)) return std::nullopt;
         if (auto map = wire::decode_map(a.body)) return map;
         Json body = Json::parse(a.body, nullptr, false);
         if (body.is_object()) return body;
         err_ << "the answer cannot be read\n";
-        code_ = kExitNoAnswer;
+        exit_code_ = kExitNoAnswer;
         return std::nullopt;
     }
     void watch() {
-        if (command_.watch_s > 0) again_after(seconds(command_.watch_s));
+        if (command_.watch_s > 0) repeat_after(seconds(command_.watch_s));
     }
     void on_job(const ControllerReply& a) {
         const auto job = read(a);
@@ -150,7 +157,8 @@
                           status == wire::final_name(wire::JobStatus::cancelled);
         if (!over) watch();
     }
-    void on_status(const ControllerReply& a, Text text, std::size_t left) {
+    // `left`: number of controllers left to ask, counting the one that gave this reply.
+    void on_status(const ControllerReply& a, Formatter text, std::size_t left) {
         const auto status = read(a);
         if (!status) return;
         auto show = [this, text, status] {
@@ -161,7 +169,7 @@
             show();
             return;
         }
-        // Not the leader: the next one may be.
+        // This controller is not the leader. Asks the next one.
         asker_.request(
             "GET", "/admin/status", "",
             [this, text, left, show](const ControllerReply& other) {
@@ -177,11 +185,11 @@
         if (!page) return;
         const auto state = wire::text_field(*page, "state");
         if (state == "planning") {
-            again_after(kPlanPause);
+            repeat_after(kPlanPollInterval);
             return;
         }
         const auto next = wire::count_field(*page, "next");
-        // Large ones come in pages.
+        // Large plans are sent in pages.
         if (plan_.is_null()) {
             plan_ = std::move(*page);
         } else {
@@ -194,20 +202,21 @@
         }
         plan_.erase("next");
         print(plan_, plan_text(plan_, command_.moves));
-        if (state == "refused") code_ = kExitRejected;
+        if (state == "refused") exit_code_ = kExitRejected;
     }
     ControllerClient asker_;
     const Command& command_;
-    net::Timer again_;
+    net::Timer repeat_timer_;
     std::ostream& out_;
     std::ostream& err_;
-    std::function<void()> begin_;
-    Json plan_;           // what has come of it
-    bool waits_ = false;  // for the time to ask again
-    int code_ = kExitOk;
+    std::function<void()> send_request_;
+    Json plan_;                    // the pages received so far
+    bool repeat_pending_ = false;  // whether `repeat_timer_` is set
+    int exit_code_ = kExitOk;
 };
 
-// A job as JSON, checked as a controller would, so that a slip is told before anybody is asked.
+// Reads a job as JSON and checks it as a controller would, so that errors are reported before
+// anything is sent.
 std::optional<Json> read_job(const std::string& file, std::istream& in, std::ostream& err) {
     std::stringstream text;
     if (file == "-") {
@@ -239,7 +248,8 @@
 }
 
 void close_loop(uv_loop_t* loop) {
-    // Connections that are kept open, and handles that are closing.
+    // Open keep-alive connections must not keep the loop running. Runs it until all handles that
+    // are being closed are closed.
     uv_walk(
         loop,
         [](uv_handle_t* h, void*) {
@@ -265,7 +275,7 @@
         ->check(CLI::Range(1.0, 3600.0));
     cli.add_flag("--json", c.json, "print answers as JSON");
     auto watched = [&](CLI::App* sub, const char* what) {
-        sub->add_option("--watch", c.watch_s, what)->check(CLI::Range(kLeastEveryS, 3600.0));
+        sub->add_option("--watch", c.watch_s, what)->check(CLI::Range(kMinWatchIntervalS, 3600.0));
         return sub;
     };
     const char* until = "ask again every so many seconds until the job is over";
--- a/src/ctl/program.h
+++ b/src/ctl/program.h
@@ -1,4 +1,5 @@
-// The commands of nickelrampctl: what is asked for each, and what is printed.
+/// @file
+/// The commands of nickelrampctl: parses the arguments, sends the requests and prints the answers.
 #pragma once
 #include <uv.h>
 
@@ -8,13 +9,14 @@
 
 namespace nickelramp::ctl {
 
-// Exit codes.
 inline constexpr int kExitOk = 0;
-inline constexpr int kExitRejected = 1;  // the service has answered, and says no
-inline constexpr int kExitUsage = 2;     // arguments, settings or files that make no sense
-inline constexpr int kExitNoAnswer = 3;  // no controller has answered in time
+inline constexpr int kExitRejected = 1;  ///< the service rejected the request
+inline constexpr int kExitUsage = 2;     ///< invalid arguments, configuration or files
+inline constexpr int kExitNoAnswer = 3;  ///< no readable answer from any controller in time
 
-// Runs one command to its end on a loop of its own.
+/// Runs one command to completion on an event loop of its own.
+/// @param arguments the command line without the program's name
+/// @return the exit code
 int run(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out,
         std::ostream& err);
 
--- a/src/ctl/retry_policy.cpp
+++ b/src/ctl/retry_policy.cpp
@@ -5,12 +5,12 @@
 namespace nickelramp::ctl {
 
 namespace {
-constexpr Millis kPause = 1'000;    // at least, between two tries that reach somebody
-constexpr int kLongestPauseS = 30;  // however much a controller asks for
+constexpr Millis kPause = 1'000;  // the shortest pause, unless another controller is tried at once
+constexpr int kMaxRetryAfterS = 30;  // upper limit for the Retry-After of a controller
 
-bool final_answer(int status) {
-    const bool asks_again = status == 429 || status == 408;
-    return status == 200 || status == 201 || (status >= 400 && status < 500 && !asks_again);
+bool is_final_status(int status) {
+    const bool asks_for_retry = status == 429 || status == 408;
+    return status == 200 || status == 201 || (status >= 400 && status < 500 && !asks_for_retry);
 }
 }  // namespace
 
@@ -18,16 +18,17 @@
     ++attempts_;
     const bool nobody = reply.outcome == net::ClientReply::Outcome::refused;
     if (!nobody) reached_controller_ = true;
-    if (reply.outcome == net::ClientReply::Outcome::answered && final_answer(reply.status)) {
+    if (reply.outcome == net::ClientReply::Outcome::answered && is_final_status(reply.status)) {
         return Next::answer;
     }
     controller_ = (controller_ + 1) % controllers_;
     refusals_ = nobody ? refusals_ + 1 : 0;
-    // Another controller may be there at once; once round, there is nobody to hurry for.
+    // After a refused connection, tries the next controller without a pause. Pauses once all
+    // controllers have refused in a row.
     if (nobody && refusals_ % controllers_ != 0) {
         retry_at_ = now;
     } else {
-        retry_at_ = now + std::max(kPause, seconds(std::min(reply.retry_after_s, kLongestPauseS)));
+        retry_at_ = now + std::max(kPause, seconds(std::min(reply.retry_after_s, kMaxRetryAfterS)));
     }
     return retry_at_ < give_up_at_ ? Next::retry : Next::give_up;
 }
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -21,10 +21,10 @@
     return !s.empty() && s.find_first_not_of("0123456789.-+e") == std::string::npos && s != "-";
 }
 
-// After a blank line.
+// Puts a blank line before the text.
 std::string below(const std::string& text) { return fmt::format("\n{}", text); }
 
-const Json& list_of(const Json& map, const char* name) {
+const Json& array_field(const Json& map, const char* name) {
     static const Json none = Json::array();
     const Json* v = wire::field(map, name);
     return v != nullptr && v->is_array() ? *v : none;
@@ -82,19 +82,20 @@
                                   cell(status, "leader"), cell(status, "state_service"));
     const Json* book = wire::field(status, "book");
     if (book == nullptr) return out + "no leader answered\n";
-    out += fmt::format(
-        "term {}{}, {} open jobs, {} waiting, {} late\n", cell(*book, "term"),
-        wire::flag_field(*book, "confirmed").value_or(false) ? "" : " (not confirmed)",
-        cell(*book, "open_jobs"), list_of(*book, "waiting").size(), list_of(*book, "late").size());
+    out +=
+        fmt::format("term {}{}, {} open jobs, {} waiting, {} late\n", cell(*book, "term"),
+                    wire::flag_field(*book, "confirmed").value_or(false) ? "" : " (not confirmed)",
+                    cell(*book, "open_jobs"), array_field(*book, "waiting").size(),
+                    array_field(*book, "late").size());
     if (const Json* machines = wire::field(*book, "machines");
         machines != nullptr && machines->is_object()) {
         std::vector<std::vector<std::string>> rows;
         for (const auto& [state, n] : machines->items()) rows.push_back({state, n.dump()});
         if (!rows.empty()) out += below(table({"machines", "number"}, rows));
     }
-    if (!list_of(*book, "waiting").empty()) {
-        out += below(
-            rows_of(list_of(*book, "waiting"), {"id", "class", "team", "tasks", "for_s", "why"}));
+    if (!array_field(*book, "waiting").empty()) {
+        out += below(rows_of(array_field(*book, "waiting"),
+                             {"id", "class", "team", "tasks", "for_s", "why"}));
     }
     return out;
 }
@@ -102,8 +103,8 @@
 std::string late_text(const Json& status) {
     const Json* book = wire::field(status, "book");
     if (book == nullptr) return "no leader answered\n";
-    if (list_of(*book, "late").empty()) return "no job is late, or about to be\n";
-    return rows_of(list_of(*book, "late"),
+    if (array_field(*book, "late").empty()) return "no job is late, or about to be\n";
+    return rows_of(array_field(*book, "late"),
                    {"id", "class", "objective", "within_s", "left_s", "why"});
 }
 
@@ -118,8 +119,8 @@
                                   cell(plan, "id"), cell(plan, "state"), cell(plan, "machines"),
                                   cell(plan, "empty_s"), cell(plan, "cost"));
     std::vector<std::vector<std::string>> steps, tasks;
-    for (const Json& s : list_of(plan, "steps")) {
-        const Json& list = list_of(s, "moves");
+    for (const Json& s : array_field(plan, "steps")) {
+        const Json& list = array_field(s, "moves");
         steps.push_back({cell(s, "machine"), cell(s, "type"), cell(s, "zone"), cell(s, "wave"),
                          std::to_string(list.size()), cell(s, "from_s"), cell(s, "empty_s")});
         for (const Json& m : list) {
@@ -136,22 +137,22 @@
         out += below(
             table({"machine", "task", "how", "to", "leaves_s", "back_s", "ends_s", "seen"}, tasks));
     }
-    if (!list_of(plan, "hires").empty()) {
-        out += below(rows_of(list_of(plan, "hires"), {"type", "zone", "count", "price"}));
+    if (!array_field(plan, "hires").empty()) {
+        out += below(rows_of(array_field(plan, "hires"), {"type", "zone", "count", "price"}));
     }
-    if (!list_of(plan, "refusals").empty()) {
-        out += below(rows_of(list_of(plan, "refusals"),
+    if (!array_field(plan, "refusals").empty()) {
+        out += below(rows_of(array_field(plan, "refusals"),
                              {"job", "task", "machine", "due_s", "ends_s", "why", "instead"}));
     }
-    for (const Json& name : list_of(plan, "passed_over")) {
+    for (const Json& name : array_field(plan, "passed_over")) {
         if (name.is_string()) out += "passed over: " + name.get<std::string>() + "\n";
     }
     return out;
 }
 
 std::string plans_text(const Json& plans) {
-    if (list_of(plans, "plans").empty()) return "no plans\n";
-    return rows_of(list_of(plans, "plans"),
+    if (array_field(plans, "plans").empty()) return "no plans\n";
+    return rows_of(array_field(plans, "plans"),
                    {"id", "state", "machines", "refused", "empty_s", "cost"});
 }
 
