--- a/emulator/user_emulator.cpp
+++ b/emulator/user_emulator.cpp
@@ -11,11 +11,11 @@
 using wire::Json;
 
 namespace {
-constexpr Millis kTick = 20, kPollEvery = 5'000, kRetry = 1'000, kSubmitWait = 5'000,
-                 kPollWait = 2'000, kInitialWithin = 5'000, kLookEvery = 100;
-constexpr std::size_t kConnections = 12, kQueue = 20'000;
+constexpr Millis kTick = 20, kPollInterval = 5'000, kRetryDelay = 1'000, kSubmitTimeout = 5'000,
+                 kPollTimeout = 2'000, kInitialWindow = 5'000, kSettingPollInterval = 100;
+constexpr std::size_t kConnections = 12, kMaxQueued = 20'000;
 constexpr double kMillisPerSecond = 1'000;
-constexpr double kSettingLeast = 1, kSettingSteps = 15;
+constexpr double kMinSetting = 1, kSettingSteps = 15;
 constexpr const char* kSetting = "keep_margin";
 }  // namespace
 
@@ -26,19 +26,19 @@
       }) {
     for (const std::string& c : controllers) {
         clients_.push_back(std::make_unique<net::HttpClient>(loop, *net::parse_address(c), c,
-                                                             kConnections, kQueue));
+                                                             kConnections, kMaxQueued));
     }
 }
 
 void UserEmulator::begin() {
-    began_ = ticked_at_ = now();
+    started_at_ = ticked_at_ = now();
     const std::size_t arrays = load_.initial_tasks / std::max(1u, load_.array_tasks);
     for (std::size_t i = 0; i < arrays; ++i) {
-        run_later(static_cast<Millis>(random_() % kInitialWithin),
+        run_later(static_cast<Millis>(random_() % kInitialWindow),
                   [this] { submit_array(load_.array_tasks); });
     }
     for (std::size_t i = 0; i < static_cast<std::size_t>(load_.services); ++i) {
-        run_later(static_cast<Millis>(random_() % kInitialWithin), [this] {
+        run_later(static_cast<Millis>(random_() % kInitialWindow), [this] {
             wire::JobSpec s;
             s.shape = wire::Shape::service;
             s.priority = wire::Priority::production;
@@ -50,8 +50,8 @@
     tick_timer_.every(kTick);
 }
 
-void UserEmulator::run_later(Millis wait, std::function<void()> act) {
-    due_.emplace(now() + wait, std::move(act));
+void UserEmulator::run_later(Millis wait, std::function<void()> action) {
+    due_.emplace(now() + wait, std::move(action));
 }
 
 bool UserEmulator::arrives(double per_s, Millis since) {
@@ -62,9 +62,9 @@
 void UserEmulator::tick() {
     const Millis since = now() - std::exchange(ticked_at_, now());
     while (!due_.empty() && due_.begin()->first <= now()) {
-        const auto act = due_.begin()->second;
+        const auto action = due_.begin()->second;
         due_.erase(due_.begin());
-        act();
+        action();
     }
     if (!arriving_) return;
     if (arrives(load_.arrays_per_s, since)) submit_array(load_.array_tasks);
@@ -79,7 +79,7 @@
         submit(std::move(s));
     }
     if (arrives(load_.settings_changes_per_s, since)) change_setting();
-    if (load_.burst_tasks > 0 && !burst_ && now() - began_ >= seconds(load_.burst_at_s)) {
+    if (load_.burst_tasks > 0 && !burst_ && now() - started_at_ >= seconds(load_.burst_at_s)) {
         burst_ = true;
         for (std::size_t i = 0; i < load_.burst_tasks / load_.array_tasks; ++i)
             submit_array(load_.array_tasks);
@@ -118,9 +118,9 @@
 }
 
 void UserEmulator::request(const char* method, const std::string& path, std::string body,
-                           Done done) {
+                           OnReply done) {
     clients_[random_() % clients_.size()]->request(
-        method, path, std::move(body), method == std::string("GET") ? kPollWait : kSubmitWait,
+        method, path, std::move(body), method == std::string("GET") ? kPollTimeout : kSubmitTimeout,
         std::move(done));
 }
 
@@ -132,17 +132,17 @@
                     ++counters_.retried;
                     if (reply.status == 400 || reply.status == 422)
                         rules_.record_violation("refused", id);
-                    return run_later(kRetry, [this, id, first] { send(id, first); });
+                    return run_later(kRetryDelay, [this, id, first] { send(id, first); });
                 }
                 ++counters_.accepted;
-                JobTruth& job = *rules_.find(id);
+                EmulatedJob& job = *rules_.find(id);
                 job.accepted_at = now();
                 submit_ms_.add(static_cast<double>(now() - first));
                 const bool cancels =
                     job.spec.shape == wire::Shape::array &&
                     std::uniform_real_distribution<double>(0, 1)(random_) < load_.cancelled;
                 if (cancels) run_later(seconds(job.run_s / 2), [this, id] { cancel(id); });
-                run_later(static_cast<Millis>(random_() % kPollEvery), [this, id] { poll(id); });
+                run_later(static_cast<Millis>(random_() % kPollInterval), [this, id] { poll(id); });
             });
 }
 
@@ -153,68 +153,66 @@
 }
 
 void UserEmulator::on_poll(const std::string& id, const net::ClientReply& reply) {
-    JobTruth& job = *rules_.find(id);
+    EmulatedJob& job = *rules_.find(id);
     if (job.first_start_at != 0 && started_.insert(id).second) {
         start_ms_[static_cast<std::size_t>(job.spec.shape)].add(
             static_cast<double>(job.first_start_at - job.submitted_at));
     }
     const bool known = reply.outcome == net::ClientReply::Outcome::answered && reply.status == 200;
     if (reply.outcome == net::ClientReply::Outcome::answered && reply.status == 404)
-        rules_.user_told(job, false, JobStatus::pending, now());
+        rules_.answer_received(job, false, JobStatus::pending, now());
     else if (!known)
         ++counters_.failed_polls;
     if (known) {
         const auto body = wire::decode_map(reply.body);
         const std::string status = body ? wire::text_field(*body, "status").value_or("") : "";
-        const JobStatus told = status == "done"        ? JobStatus::done
-                               : status == "withdrawn" ? JobStatus::cancelled
-                               : status == "running"   ? JobStatus::running
-                                                       : JobStatus::pending;
-        rules_.user_told(job, true, told, now());
-        if (told == JobStatus::done || told == JobStatus::cancelled) {
+        const JobStatus reported = status == "done"        ? JobStatus::done
+                                   : status == "withdrawn" ? JobStatus::cancelled
+                                   : status == "running"   ? JobStatus::running
+                                                           : JobStatus::pending;
+        rules_.answer_received(job, true, reported, now());
+        if (reported == JobStatus::done || reported == JobStatus::cancelled) {
             --open_;
             return;
         }
     }
-    run_later(kPollEvery, [this, id] { poll(id); });
+    run_later(kPollInterval, [this, id] { poll(id); });
 }
 
 void UserEmulator::cancel(const std::string& id) {
     ++counters_.cancelled;
     request("POST", "/work/" + id + "/abort", "", [this, id](const net::ClientReply& reply) {
         if (reply.outcome != net::ClientReply::Outcome::answered || reply.status != 200)
-            run_later(kRetry, [this, id] { cancel(id); });
+            run_later(kRetryDelay, [this, id] { cancel(id); });
     });
 }
 
-// --- settings
-
 void UserEmulator::change_setting() {
-    setting_ = kSettingLeast + std::fmod(setting_, kSettingSteps) + 1;
+    setting_ = kMinSetting + std::fmod(setting_, kSettingSteps) + 1;
     ++counters_.settings_changed;
     const double value = setting_;
     const Json body = {{"value", value}};
     clients_[random_() % clients_.size()]->request(
-        "PUT", std::string("/admin/settings/") + kSetting, body.dump(), kSubmitWait,
+        "PUT", std::string("/admin/settings/") + kSetting, body.dump(), kSubmitTimeout,
         [this, value, since = now()](const net::ClientReply& reply) {
             if (reply.outcome != net::ClientReply::Outcome::answered || reply.status != 200) return;
             for (std::size_t i = 0; i < clients_.size(); ++i) await_setting(value, i, since);
         });
 }
 
-// A later change may have taken its place by then.
 void UserEmulator::await_setting(double value, std::size_t controller, Millis since) {
     clients_[controller]->request(
-        "GET", "/admin/settings", "", kPollWait,
+        "GET", "/admin/settings", "", kPollTimeout,
         [this, value, controller, since](const net::ClientReply& reply) {
             const Json body = Json::parse(reply.body, nullptr, false);
-            const Json* now_set = body.is_object() ? wire::field(body, kSetting) : nullptr;
-            const bool there = now_set != nullptr && now_set->is_number() && *now_set == value;
-            if (there || value != setting_) {
-                if (there) settings_ms_.add(static_cast<double>(now() - since));
+            const Json* current_value = body.is_object() ? wire::field(body, kSetting) : nullptr;
+            const bool found =
+                current_value != nullptr && current_value->is_number() && *current_value == value;
+            if (found || value != setting_) {
+                if (found) settings_ms_.add(static_cast<double>(now() - since));
                 return;
             }
-            run_later(kLookEvery, [this, value, controller, since] {
+            run_later(kSettingPollInterval, [this, value, controller, since] {
                 await_setting(value, controller, since);
             });
         });
--- a/emulator/worker_emulator.cpp
+++ b/emulator/worker_emulator.cpp
@@ -9,9 +9,10 @@
 namespace nickelramp::emulator {
 
 namespace {
-constexpr Millis kWaits = 4'000, kNextAfter = 1'000, kMoveWithin = 500, kLeastGap = 500;
-constexpr Millis kDueEvery = 5;
-constexpr std::size_t kMostConnections = 18'000;
+constexpr Millis kHeartbeatTimeout = 4'000, kNextControllerDelay = 1'000, kRedirectSpread = 500,
+                 kMinReportGap = 500;
+constexpr Millis kDueInterval = 5;
+constexpr std::size_t kMaxConnections = 18'000;
 constexpr double kReportSpread = 0.25;
 constexpr double kMillisPerSecond = 1'000;
 constexpr int kOk = 200, kRedirected = 421;
@@ -23,11 +24,11 @@
       settings_(std::move(settings)),
       rules_(rules),
       random_(seed),
-      server_(loop, kMostConnections,
+      server_(loop, kMaxConnections,
               [this](const net::Request& q, const net::Responder& r) { on_direct(q, r); }),
       due_timer_(loop, [this] { run_due(); }) {
     server_.report_local_ip();
-    due_timer_.every(kDueEvery);
+    due_timer_.every(kDueInterval);
 }
 
 int WorkerEmulator::listen() {
@@ -41,15 +42,15 @@
     return fmt::format("127.{}.{}.{}:{}", high, middle, low, settings_.port);
 }
 
-void WorkerEmulator::at(Millis when, std::function<void()> act) {
-    due_.push({when, ++order_, std::move(act)});
+void WorkerEmulator::at(Millis when, std::function<void()> action) {
+    due_.push({when, ++order_, std::move(action)});
 }
 
 void WorkerEmulator::run_due() {
     while (!due_.empty() && due_.top().at <= now()) {
-        const auto act = due_.top().act;
+        const auto action = due_.top().action;
         due_.pop();
-        act();
+        action();
     }
 }
 
@@ -58,10 +59,10 @@
     return it == workers_.end() ? nullptr : &it->second;
 }
 
-void WorkerEmulator::later(const Worker& w, Millis wait, std::function<void(Worker&)> act) {
-    at(now() + wait, [this, name = w.name, life = w.life, act = std::move(act)] {
+void WorkerEmulator::schedule(const Worker& w, Millis wait, std::function<void(Worker&)> action) {
+    at(now() + wait, [this, name = w.name, life = w.life, action = std::move(action)] {
         Worker* same = worker(name);
-        if (same != nullptr && same->life == life) act(*same);
+        if (same != nullptr && same->life == life) action(*same);
     });
 }
 
@@ -93,7 +94,7 @@
     while (!w->tasks.empty()) {
         const auto [id, task] = *w->tasks.begin();
         w->tasks.erase(w->tasks.begin());
-        leave(id, task);
+        release_task(id, task);
     }
     const std::string ip = address(w->number);
     by_ip_.erase(ip.substr(0, ip.find(':')));
@@ -106,8 +107,6 @@
     return out;
 }
 
-// --- Heartbeats.
-
 wire::Heartbeat WorkerEmulator::describe(Worker& w) {
     wire::Heartbeat heartbeat;
     heartbeat.machine = w.name;
@@ -136,7 +135,7 @@
     ++counters_.reports;
     std::string body = encode_heartbeat(describe(w));
     counters_.bytes_sent += body.size();
-    w.client->request("POST", "/checkin", std::move(body), kWaits,
+    w.client->request("POST", "/checkin", std::move(body), kHeartbeatTimeout,
                       [this, name = w.name, life = w.life, session = w.session,
                        sent = now()](const net::ClientReply& reply) {
                           Worker* same = worker(name);
@@ -173,7 +172,7 @@
     if (named == names.end() || named == names.begin() + static_cast<long>(w.target))
         return try_next_controller(w);
     w.target = static_cast<std::size_t>(named - names.begin());
-    reconnect_after(w, static_cast<Millis>(random_() % kMoveWithin));
+    reconnect_after(w, static_cast<Millis>(random_() % kRedirectSpread));
 }
 
 void WorkerEmulator::on_commands(Worker& w, const net::ClientReply& reply, std::uint64_t session,
@@ -196,32 +195,31 @@
 
 void WorkerEmulator::try_next_controller(Worker& w) {
     w.target = (w.target + 1) % settings_.controllers.size();
-    reconnect_after(w, kNextAfter);
+    reconnect_after(w, kNextControllerDelay);
 }
 
 void WorkerEmulator::reconnect_after(Worker& w, Millis wait) {
-    later(w, wait, [this](Worker& same) {
+    schedule(w, wait, [this](Worker& same) {
         same.client.reset();
         report(same);
     });
 }
 
-// The next heartbeat is due after the usual interval, or sooner if something
-// changes.
+// Schedules the next heartbeat after the usual interval, or sooner if the state changes.
 void WorkerEmulator::schedule_report(Worker& w) {
-    later(w, jitter(settings_.report_s), [this, was = w.reported_at](Worker& same) {
-        if (same.reported_at == was) report(same);
+    schedule(w, jitter(settings_.report_s), [this, previous_report = w.reported_at](Worker& same) {
+        if (same.reported_at == previous_report) report(same);
     });
     if (w.changed) report_soon(w);
 }
 
 void WorkerEmulator::report_soon(Worker& w) {
     w.changed = true;
-    if (w.in_flight || w.again_soon) return;
-    w.again_soon = true;
-    const Millis wait = std::max<Millis>(0, w.reported_at + kLeastGap - now());
-    later(w, wait, [this](Worker& same) {
-        same.again_soon = false;
+    if (w.in_flight || w.report_scheduled) return;
+    w.report_scheduled = true;
+    const Millis wait = std::max<Millis>(0, w.reported_at + kMinReportGap - now());
+    schedule(w, wait, [this](Worker& same) {
+        same.report_scheduled = false;
         if (same.changed) report(same);
     });
 }
@@ -229,8 +227,8 @@
 void WorkerEmulator::check_lease(Worker& w) {
     const Millis end = w.lease_from + static_cast<Millis>(settings_.lease_s * kMillisPerSecond);
     if (now() > end) lose_lease(w);
-    later(w, std::max<Millis>(kLeastGap, end - now() + 1),
-          [this](Worker& same) { check_lease(same); });
+    schedule(w, std::max<Millis>(kMinReportGap, end - now() + 1),
+             [this](Worker& same) { check_lease(same); });
 }
 
 void WorkerEmulator::lose_lease(Worker& w) {
@@ -240,13 +238,11 @@
     while (!w.tasks.empty()) {
         const auto [id, task] = *w.tasks.begin();
         w.tasks.erase(w.tasks.begin());
-        leave(id, task);
+        release_task(id, task);
     }
     report_soon(w);
 }
 
-// --- Commands.
-
 void WorkerEmulator::on_direct(const net::Request& q, const net::Responder& r) {
     auto known = by_ip_.find(q.local_ip);
     Worker* w = known == by_ip_.end() ? nullptr : worker(known->second);
--- a/emulator/worker_emulator.h
+++ b/emulator/worker_emulator.h
@@ -1,7 +1,7 @@
-// Emulated workers, thousands of them in one process. Each sends heartbeats,
-// executes commands and loses its lease as the protocol says; a task is only a
-// timer. Simplified: images are never evicted from the cache, and the tasks of
-// a stopped gang save their state independently.
+/// @file
+/// Emulates thousands of workers in one process. Each sends heartbeats, executes commands and loses
+/// its lease as the protocol requires. A task is only a timer. Simplifications: images are never
+/// evicted from the cache, and the tasks of a stopped gang save their state independently.
 #pragma once
 #include <uv.h>
 
@@ -24,19 +24,19 @@
 
 namespace nickelramp::emulator {
 
-/// What all emulated workers have in common.
+/// Settings that all emulated workers share.
 struct WorkerSettings {
     double report_s = 8, lease_s = 45, gang_wait_s = 30, gang_peer_s = 4;
     double fetch_gb_per_s = 1;
-    int port = 0;                          ///< of all workers, each on an address of its own
+    int port = 0;                          ///< of all workers; each has its own loopback address
     std::vector<std::string> controllers;  ///< names
     std::vector<std::string> addresses;    ///< of the controllers, in the same order
 };
 
-/// The workers of all machines that are up. ProtocolRules hears what truly runs
-/// on them.
+/// The workers of all machines that are up. Reports the tasks that run on them to ProtocolRules.
 class WorkerEmulator {
   public:
+    /// Totals since the start. `reports` are heartbeats, `direct` are requests from controllers.
     struct Counters {
         std::uint64_t reports = 0, answered = 0, redirected = 0, refused = 0, unanswered = 0;
         std::uint64_t dropped_tokens = 0, leases_lost = 0;
@@ -46,23 +46,23 @@
     WorkerEmulator(uv_loop_t* loop, WorkerSettings settings, ProtocolRules& rules,
                    std::uint64_t seed);
 
-    /// 0 or a libuv error.
+    /// @return 0 or a libuv error.
     [[nodiscard]] int listen();
-    /// Of the machine with that number: one of 127.0.0.0/8, with the port.
+    /// Returns the address and port of a machine, in 127.0.0.0/8.
     [[nodiscard]] std::string address(std::size_t number) const;
-    /// A machine is up, and its worker begins to send heartbeats.
+    /// Adds the worker of a machine that has booted; it begins to send heartbeats.
     void boot(std::size_t number, const std::string& name, const std::string& type,
               const std::string& zone, bool spot);
-    /// The machine is gone, with its tasks.
+    /// Removes a machine with its tasks.
     void remove(const std::string& name);
 
     [[nodiscard]] const Counters& counters() const { return counters_; }
-    /// From a heartbeat to its reply.
+    /// Delay from sending a heartbeat to receiving its reply.
     [[nodiscard]] const Histogram& report_ms() const { return report_ms_; }
     [[nodiscard]] std::size_t size() const { return workers_.size(); }
-    /// Tasks that occupy a machine.
+    /// Number of tasks that occupy a machine.
     [[nodiscard]] std::size_t running() const { return running_; }
-    /// How many workers report to each controller, by its name.
+    /// Number of workers that send heartbeats to each controller, by its name.
     [[nodiscard]] std::map<std::string, std::size_t> by_controller() const;
 
   private:
@@ -75,34 +75,39 @@
     };
     struct Worker {
         std::size_t number = 0;
-        std::uint64_t life = 0;
+        std::uint64_t life = 0;  // unique for each boot
         std::string name, type, zone;
         bool spot = false;
+        // Incarnation (a lost lease begins a new one), number of the last heartbeat, and highest
+        // fencing token received.
         std::uint64_t session = 1, seq = 0, token = 0;
         Millis lease_from = 0, reported_at = 0, seen_token_at = 0;
-        std::size_t target = 0;
-        bool in_flight = false, changed = false, again_soon = false;
+        std::size_t target = 0;  // index of the controller that receives the heartbeats
+        // A heartbeat awaits its reply; the state changed since the last heartbeat; a heartbeat is
+        // scheduled early.
+        bool in_flight = false, changed = false, report_scheduled = false;
         std::unique_ptr<net::HttpClient> client;
         std::map<TaskId, Task> tasks;
         std::set<std::string> images;
     };
     struct Gang {
-        std::map<std::uint32_t, std::string> members;  // by task: its machine
-        std::size_t ready = 0;
+        std::map<std::uint32_t, std::string> members;  // machine by task
+        std::size_t ready = 0;                         // tasks that have their image
         bool began = false;
     };
+    // An action that is due at a time; earlier times, then lower `order`, come first.
     struct Due {
         Millis at = 0;
         std::uint64_t order = 0;
-        std::function<void()> act;
+        std::function<void()> action;
         bool operator<(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
     };
 
     Millis now() const { return static_cast<Millis>(uv_now(loop_)); }
-    void at(Millis when, std::function<void()> act);
+    void at(Millis when, std::function<void()> action);
     void run_due();
-    // Unless the machine is gone by then.
-    void later(const Worker& w, Millis wait, std::function<void(Worker&)> act);
+    // Runs the action after `wait`, unless the machine was removed by then.
+    void schedule(const Worker& w, Millis wait, std::function<void(Worker&)> action);
 
     void report(Worker& w);
     void on_reply(Worker& w, const net::ClientReply& reply, std::uint64_t session, Millis sent);
@@ -113,9 +118,11 @@
     void try_next_controller(Worker& w);
     void report_soon(Worker& w);
     void check_lease(Worker& w);
+    // Ends all tasks and begins a new incarnation.
     void lose_lease(Worker& w);
     wire::Heartbeat describe(Worker& w);
 
+    // Handles commands that a controller sends to a worker outside of heartbeat replies.
     void on_direct(const net::Request& request, const net::Responder& responder);
     void execute(Worker& w, const std::vector<wire::Command>& commands);
     void start(Worker& w, const wire::Command& command);
@@ -125,8 +132,11 @@
     void complete(Worker& w, const TaskId& id, std::uint32_t attempt);
     void exit_task(Worker& w, const TaskId& id, wire::ExitCause cause, bool saved);
     void gang_ready(Worker& w, const TaskId& id, std::uint32_t attempt);
+    // Ends the remaining tasks of a gang that lost a member.
     void gang_lost(const TaskId& id, std::uint32_t attempt, wire::ExitCause cause);
-    void leave(const TaskId& id, const Task& task);
+    // Records that the task no longer occupies its machine.
+    void release_task(const TaskId& id, const Task& task);
+    // Returns nullptr if the worker does not have this attempt of the task.
     Task* find(Worker& w, const TaskId& id, std::uint32_t attempt);
     Worker* worker(const std::string& name);
     Millis jitter(double seconds_mean);
@@ -140,7 +150,7 @@
     std::priority_queue<Due> due_;
     std::uint64_t order_ = 0, lives_ = 0;
     std::unordered_map<std::string, Worker> workers_;
-    std::unordered_map<std::string, std::string> by_ip_;
+    std::unordered_map<std::string, std::string> by_ip_;           // machine names
     std::map<std::pair<std::string, std::uint32_t>, Gang> gangs_;  // by job and attempt
     std::size_t running_ = 0;
     Counters counters_;
--- a/emulator/worker_emulator_tasks.cpp
+++ b/emulator/worker_emulator_tasks.cpp
@@ -1,4 +1,5 @@
-// How emulated workers execute commands and run their tasks.
+/// @file
+/// Part of WorkerEmulator: executes commands and runs tasks.
 #include "emulator/worker_emulator.h"
 
 namespace nickelramp::emulator {
@@ -26,12 +27,12 @@
 
 void WorkerEmulator::start(Worker& w, const Command& command) {
     const TaskId id{command.job, command.task};
-    auto there = w.tasks.find(id);
-    if (there != w.tasks.end()) {
-        const bool ended = there->second.phase == TaskPhase::exited;
-        if (there->second.attempt == command.attempt || !ended) return;
+    auto found = w.tasks.find(id);
+    if (found != w.tasks.end()) {
+        const bool ended = found->second.phase == TaskPhase::exited;
+        if (found->second.attempt == command.attempt || !ended) return;
     }
-    JobTruth* job = rules_.find(command.job);
+    EmulatedJob* job = rules_.find(command.job);
     Task& t = w.tasks[id] = {};
     t.attempt = command.attempt;
     if (job == nullptr || command.task >= job->spec.tasks) {
@@ -43,15 +44,15 @@
         gangs_[{command.job, command.attempt}].members[command.task] = w.name;
     const bool cached = w.images.count(job->spec.image) != 0;
     const Millis fetch = cached ? 0 : jitter(job->spec.image_gb / settings_.fetch_gb_per_s);
-    later(w, fetch,
-          [this, id, attempt = command.attempt](Worker& same) { fetched(same, id, attempt); });
+    schedule(w, fetch,
+             [this, id, attempt = command.attempt](Worker& same) { fetched(same, id, attempt); });
     report_soon(w);
 }
 
 void WorkerEmulator::fetched(Worker& w, const TaskId& id, std::uint32_t attempt) {
     Task* t = find(w, id, attempt);
     if (t == nullptr || t->phase != TaskPhase::fetching) return;
-    JobTruth& job = *rules_.find(id.first);
+    EmulatedJob& job = *rules_.find(id.first);
     w.images.insert(job.spec.image);
     rules_.task_arrived(w.name, job, id.second, now());
     ++running_;
@@ -65,11 +66,11 @@
     Task* t = find(w, id, attempt);
     if (t == nullptr) return;
     t->phase = TaskPhase::running;
-    JobTruth& job = *rules_.find(id.first);
+    EmulatedJob& job = *rules_.find(id.first);
     if (job.first_start_at == 0) job.first_start_at = now();
     if (job.spec.shape != wire::Shape::service) {
-        later(w, seconds(job.run_s),
-              [this, id, attempt](Worker& same) { complete(same, id, attempt); });
+        schedule(w, seconds(job.run_s),
+                 [this, id, attempt](Worker& same) { complete(same, id, attempt); });
     }
     report_soon(w);
 }
@@ -85,12 +86,12 @@
     const TaskId id{command.job, command.task};
     Task* t = find(w, id, command.attempt);
     if (t == nullptr || t->phase == TaskPhase::exited) return;
-    const JobTruth* job = rules_.find(command.job);
+    const EmulatedJob* job = rules_.find(command.job);
     const bool saves = t->phase == TaskPhase::running && job != nullptr &&
                        job->spec.checkpoint_s > 0 && command.grace_s >= job->spec.save_s;
     if (!saves) return exit_task(w, id, ExitCause::stopped, false);
     t->phase = TaskPhase::saving;
-    later(w, seconds(job->spec.save_s), [this, id, attempt = command.attempt](Worker& same) {
+    schedule(w, seconds(job->spec.save_s), [this, id, attempt = command.attempt](Worker& same) {
         Task* task = find(same, id, attempt);
         if (task != nullptr && task->phase == TaskPhase::saving)
             exit_task(same, id, ExitCause::stopped, true);
@@ -105,14 +106,13 @@
     t.cause = cause;
     t.saved = saved;
     ++counters_.exits;
-    leave(id, before);
+    release_task(id, before);
     report_soon(w);
 }
 
-// The task does not occupy its machine any more.
-void WorkerEmulator::leave(const TaskId& id, const Task& task) {
+void WorkerEmulator::release_task(const TaskId& id, const Task& task) {
     const bool was_on = task.phase != TaskPhase::fetching && task.phase != TaskPhase::exited;
-    JobTruth* job = rules_.find(id.first);
+    EmulatedJob* job = rules_.find(id.first);
     if (job == nullptr) return;
     if (was_on) {
         rules_.task_left(*job, id.second);
@@ -134,9 +134,9 @@
     find(w, id, attempt)->phase = TaskPhase::waiting;
     Gang& gang = gangs_[{id.first, attempt}];
     ++gang.ready;
-    const JobTruth& job = *rules_.find(id.first);
+    const EmulatedJob& job = *rules_.find(id.first);
     if (gang.ready < job.spec.tasks) {
-        later(w, seconds(settings_.gang_wait_s), [this, id, attempt](Worker& same) {
+        schedule(w, seconds(settings_.gang_wait_s), [this, id, attempt](Worker& same) {
             Task* t = find(same, id, attempt);
             if (t == nullptr || t->phase != TaskPhase::waiting) return;
             --gangs_[{id.first, attempt}].ready;
@@ -146,7 +146,7 @@
     }
     gang.began = true;
     for (const auto& [task, machine] : gang.members) {
-        if (Worker* mate = worker(machine)) run(*mate, {id.first, task}, attempt);
+        if (Worker* peer = worker(machine)) run(*peer, {id.first, task}, attempt);
     }
 }
 
@@ -156,10 +156,10 @@
     const auto members = gang->second.members;
     gangs_.erase(gang);
     for (const auto& [task, machine] : members) {
-        Worker* mate = worker(machine);
-        if (mate == nullptr || find(*mate, {id.first, task}, attempt) == nullptr) continue;
-        if (find(*mate, {id.first, task}, attempt)->phase != TaskPhase::exited)
-            exit_task(*mate, {id.first, task}, cause, false);
+        Worker* peer = worker(machine);
+        if (peer == nullptr || find(*peer, {id.first, task}, attempt) == nullptr) continue;
+        if (find(*peer, {id.first, task}, attempt)->phase != TaskPhase::exited)
+            exit_task(*peer, {id.first, task}, cause, false);
     }
 }
 
--- a/emulator/worker_messages.h
+++ b/emulator/worker_messages.h
@@ -1,4 +1,6 @@
-// The workers' side of the protocol's messages: what they report, and what they are told.
+/// @file
+/// Encodes and decodes messages as workers and users do: heartbeats, commands and job
+/// submissions.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,15 +12,18 @@
 
 namespace nickelramp::emulator {
 
+/// Returns the CBOR body of a heartbeat.
 std::string encode_heartbeat(const wire::Heartbeat& heartbeat);
 
+/// Commands in a heartbeat reply or in a direct request to a worker.
 struct WorkerCommands {
-    std::uint64_t token = 0;
-    std::optional<std::uint64_t> session;  // of direct commands only
+    std::uint64_t token = 0;               ///< fencing token of the sending leader
+    std::optional<std::uint64_t> session;  ///< incarnation addressed; direct commands only
     std::vector<wire::Command> commands;
 };
-// Nothing if it cannot be read or names no token.
+/// Returns std::nullopt if the body is malformed or has no token. Malformed commands are skipped.
 std::optional<WorkerCommands> decode_commands(const std::string& body);
+/// Returns the body of a job submission.
 wire::Json job_body(const wire::JobSpec& spec);
 
 }  // namespace nickelramp::emulator
