--- a/emulator/state_service_emulator.cpp
+++ b/emulator/state_service_emulator.cpp
@@ -215,7 +215,8 @@
     counters_.bytes_in += q.body.size();
     const bool watch = q.path == "/watch";
     if (down && !watch) return reply(r, 503, Json::object());
-    if (!watch && too_many > 0 && --too_many >= 0) return reply(r, 429, Json::object());
+    if (!watch && requests_to_reject > 0 && --requests_to_reject >= 0)
+        return reply(r, 429, Json::object());
     if (!down && !requests_.try_acquire(1, now())) {
         ++counters_.refused;
         return reply(r, 429, Json::object());
--- a/emulator/state_service_emulator.h
+++ b/emulator/state_service_emulator.h
@@ -52,7 +52,7 @@
     int listen(const std::string& address);
 
     bool down = false;             ///< requests are answered 503, watches are kept open
-    int too_many = 0;              ///< number of next requests to answer 429; watches are exempt
+    int requests_to_reject = 0;    ///< number of next requests to answer 429; watches are exempt
     bool drop_next_reply = false;  ///< applies the next transaction without replying
     std::size_t commits = 0;       ///< transactions received
     bool has(const std::string& key) const { return keys_.count(key) != 0; }
