--- a/tests/golden_ctl_test.cpp
+++ b/tests/golden_ctl_test.cpp
@@ -1,4 +1,4 @@
-// nickelrampctl: what it asks the controllers, what it prints, its messages and exit codes.
+// Tests the recorded requests, output, error messages and exit codes of nickelrampctl.
 #include <stdexcept>
 
 #include "ctl/config.h"
@@ -76,7 +76,7 @@
             {"passed_over", {"m-9 is not known", 5}}};
 }
 
-// One request as it is recorded.
+// Returns the request in its recorded form.
 std::string shown(const net::Request& request) {
     std::string line = request.method;
     line.append(" ").append(request.path);
@@ -90,7 +90,7 @@
 
 class GoldenCtl : public test::golden::Recorded {
   protected:
-    // Runs a command against the prepared answers and records all that is seen of it.
+    // Runs a command against the prepared answers and records its requests, output and exit code.
     void run(const std::string& entry, std::vector<std::string> arguments,
              const std::string& input = "", const std::string& controller = kThere) {
         if (!controller.empty()) arguments.insert(arguments.begin(), {"--controller", controller});
@@ -178,7 +178,7 @@
     run("list", {"plan", "list"});
     answer_json(200, {{"plans", Json::array()}});
     run("list, none", {"plan", "list"});
-    // In pages.
+    // A plan in two pages.
     Json first = full_plan(), second = full_plan();
     first["next"] = 1;
     answers = {{200, first.dump(), 0, "application/json"},
@@ -210,7 +210,7 @@
     run("version", {"--version"});
 }
 
-// Without the layout, which is the argument parser's.
+// Ignores the layout of the help, which the argument parser determines.
 TEST_F(GoldenCtl, HelpNamesAllCommandsAndOptions) {
     const std::vector<std::vector<std::string>> commands = {
         {},           {"submit"}, {"show"},         {"abort"},        {"status"},      {"late"},
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -1,4 +1,5 @@
-// Records in the state service: their keys, their bytes, and what is read of earlier ones.
+// Tests the recorded keys and bytes of records in the state service, and the decoding of records of
+// earlier versions.
 #include <limits>
 
 #include "admin/options.h"
@@ -26,7 +27,7 @@
 
 constexpr std::uint64_t kAllTasks = std::numeric_limits<std::uint64_t>::max();
 
-// "read" or "refused" for each value, one a line.
+// Returns "read" or "refused" for each value, one per line.
 template <typename Read>
 std::string verdicts(const std::vector<Json>& values, Read read) {
     std::string out;
